--- a/src/actors/common/log/controlLog.ts
+++ b/src/actors/common/log/controlLog.ts
@@ -13,7 +13,7 @@
 import { unreachable } from '../../../base/common/exhaustive.ts'
 import type { FoldState, Verdict } from '../../../core/common/fold/fold.ts'
 import { emptyState, foldEntry, snapshot } from '../../../core/common/fold/fold.ts'
-import { Freshness } from '../../../core/common/fold/freshness.ts'
+import { FreshnessTracker } from '../../../core/common/fold/freshness.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Log, LogEntry, LogPage } from '../../../ports/common/log.ts'
@@ -81,7 +81,7 @@
   private awaited: () => boolean = () => false
   private pausing: Disposable | undefined
   private answering = true
-  private readonly freshness: Freshness
+  private readonly freshness: FreshnessTracker
   private readonly finder: StateFinder
   private readonly recent: LogEntry[] = []
   private readonly verdicts = new Emitter<Verdict>()
@@ -92,7 +92,7 @@
   constructor (private readonly services: ControlLogServices, private readonly settings: ControlLogSettings) {
     super(services.system, 'control-log', services.metrics)
     this.finder = new StateFinder(services)
-    this.freshness = new Freshness({ boundMs: settings.freshnessMs, tickMs: TICK_MS }, services.clock.monotonic())
+    this.freshness = new FreshnessTracker({ maxAgeMs: settings.freshnessMs, tickIntervalMs: TICK_MS }, services.clock.monotonic())
     this.disposables.add(services.clock.every(TICK_MS, () => { this.tell({ type: 'tick' }) }))
     this.disposables.add(this.verdicts)
     this.disposables.add(this.changes)
@@ -204,7 +204,7 @@
       return
     }
     this.foldAll(page.entries)
-    if (this.current.offset >= page.end) this.freshness.contact(at)
+    if (this.current.offset >= page.end) this.freshness.recordContact(at)
     const caughtUp = page.entries.length > 0 && this.current.offset >= page.end
     if (caughtUp && !this.awaited()) this.pause()
     else this.tell({ type: 'read' })
@@ -228,7 +228,7 @@
   private startOver (first: number): void {
     this.services.metrics.count('log.gap')
     this.services.stateLog.alarm('the log no longer has the next entry', { first, offset: this.current.offset })
-    this.freshness.lose()
+    this.freshness.reset()
     this.later({ type: 'find-state' })
   }
 
@@ -263,7 +263,7 @@
    */
   private contactThroughPeer (at: number): void {
     if (this.services.directory.placeLost()) this.services.metrics.count('log.cut_suspected')
-    else this.freshness.contact(at)
+    else this.freshness.recordContact(at)
   }
 
   private foldAll (entries: readonly LogEntry[]): void {
--- a/src/actors/common/log/stateFinder.ts
+++ b/src/actors/common/log/stateFinder.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Checkpoint } from '../../../core/common/fold/checkpoint.ts'
-import { newestCheckpoint } from '../../../core/common/fold/checkpoint.ts'
+import { readNewestCheckpoint } from '../../../core/common/fold/checkpoint.ts'
 import type { FoldState } from '../../../core/common/fold/fold.ts'
 import { emptyState, restore } from '../../../core/common/fold/fold.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
@@ -48,7 +48,7 @@
 
   private async fromLog (): Promise<FoldState | undefined> {
     const { log, hash } = this.services
-    const checkpoint = await newestCheckpoint(log, hash)
+    const checkpoint = await readNewestCheckpoint(log, hash)
     if (!checkpoint.ok) return undefined
     const control = await log.read('control', 0, { maximumEntries: 1, waitMs: 0 })
     if (!control.ok) return undefined
--- a/src/actors/common/membership/membership.ts
+++ b/src/actors/common/membership/membership.ts
@@ -11,8 +11,8 @@
 import type { Result } from '../../../base/common/resultCode.ts'
 import type { Member, MemberUpdate } from '../../../core/common/membership/memberTable.ts'
 import { MemberTable } from '../../../core/common/membership/memberTable.ts'
-import type { NewStatus } from '../../../core/common/membership/statusLines.ts'
-import { statusLine } from '../../../core/common/membership/statusLines.ts'
+import type { StatusChange } from '../../../core/common/membership/statusLines.ts'
+import { summarizeStatusChanges } from '../../../core/common/membership/statusLines.ts'
 import type { Chance, Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
@@ -89,7 +89,7 @@
   private readonly storeReachers = new Set<HostId>()
   private readonly doubted = new Set<HostId>()
   /** Hosts that became known or alive and that no line has told of. */
-  private readonly news = new Map<HostId, NewStatus>()
+  private readonly news = new Map<HostId, StatusChange>()
   private gathering: Disposable | undefined
   private round: Member[] = []
   private probes = 0
@@ -117,11 +117,11 @@
   }
 
   members (): Member[] {
-    return this.table.all()
+    return this.table.allMembers()
   }
 
   available (): Member[] {
-    return this.table.available()
+    return this.table.availableMembers()
   }
 
   pressureOf (shard: ShardKey): number | undefined {
@@ -134,20 +134,20 @@
 
   /** Addresses of hosts that may answer, in random order; seeds where none is known. */
   peerAddresses (): string[] {
-    const known = this.table.reachable().map((member) => member.address)
+    const known = this.table.reachableMembers().map((member) => member.address)
     return shuffle(known.length > 0 ? known : this.seeds(), this.services.chance)
   }
 
   /** Addresses of live hosts that said lately that they reach the store, in random order. */
   storeReacherAddresses (): string[] {
-    return shuffle(this.table.available().filter(({ host }) => host !== this.self.host && this.storeReachers.has(host)).map(({ address }) => address), this.services.chance)
+    return shuffle(this.table.availableMembers().filter(({ host }) => host !== this.self.host && this.storeReachers.has(host)).map(({ address }) => address), this.services.chance)
   }
 
   /** Whether all hosts of some other place are out of reach. */
   placeLost (): boolean {
     const reached = new Set<Place>()
     const places = new Set<Place>()
-    for (const member of this.table.all()) {
+    for (const member of this.table.allMembers()) {
       places.add(member.place)
       if (member.status === 'alive' || member.status === 'leaving') reached.add(member.place)
     }
@@ -172,7 +172,7 @@
   leave (): void {
     this.table.leave(this.services.clock.monotonic())
     this.changes.fire()
-    for (const member of shuffle(this.table.reachable(), this.services.chance).slice(0, LEAVE_TOLD)) this.send(member.address, false)
+    for (const member of shuffle(this.table.reachableMembers(), this.services.chance).slice(0, LEAVE_TOLD)) this.send(member.address, false)
   }
 
   protected override receive (message: Message): void {
@@ -212,7 +212,7 @@
 
   /** Each member once a round, in a new random order each round. */
   private nextMember (): Member | undefined {
-    if (this.round.length === 0) this.round = shuffle(this.table.reachable(), this.services.chance)
+    if (this.round.length === 0) this.round = shuffle(this.table.reachableMembers(), this.services.chance)
     const next = this.round.pop()
     if (next === undefined) return undefined
     const current = this.table.get(next.host)
@@ -221,8 +221,8 @@
 
   /** Seeds and the dead are asked now and then: the two sides of a healed cut find each other so. */
   private async probeLost (): Promise<void> {
-    const known = new Set(this.table.reachable().map((member) => member.address))
-    const dead = this.table.all().filter((member) => member.status === 'dead').map((member) => member.address)
+    const known = new Set(this.table.reachableMembers().map((member) => member.address))
+    const dead = this.table.allMembers().filter((member) => member.status === 'dead').map((member) => member.address)
     const [address] = shuffle([...new Set([...this.seeds(), ...dead])].filter((candidate) => !known.has(candidate)), this.services.chance)
     if (address === undefined) return
     this.tell({ type: 'probed', member: undefined, answer: await this.send(address, true) })
@@ -259,7 +259,7 @@
       this.tell({ type: 'probed', member, answer: again })
       return true
     }
-    const helpers = shuffle(this.table.reachable().filter((other) => other.host !== member.host && other.status === 'alive'), this.services.chance)
+    const helpers = shuffle(this.table.reachableMembers().filter((other) => other.host !== member.host && other.status === 'alive'), this.services.chance)
     const asked = helpers.slice(0, this.options.indirect).map(async (helper) => {
       const answer = await this.services.peers.call(helper.address, 'membership.probe-for', { address: member.address }, this.options.probeTimeoutMs * 3)
       return answer.ok && answer.value.reached
@@ -293,7 +293,7 @@
   }
 
   /** Writes what a host became; what comes with a start or with the end of a cut is gathered, as it comes for all hosts. */
-  private note (change: NewStatus): void {
+  private note (change: StatusChange): void {
     const gathered = this.news.get(change.host)
     if (gathered === undefined && change.was !== 'unknown' && change.status !== 'alive') {
       return this.services.stateLog.changed('host status', { member: change.host, status: change.status, was: change.was })
@@ -305,7 +305,7 @@
   private tellNews (): void {
     this.gathering?.dispose()
     this.gathering = undefined
-    const line = statusLine([...this.news.values()], this.table.all().length)
+    const line = summarizeStatusChanges([...this.news.values()], this.table.allMembers().length)
     this.news.clear()
     if (line !== undefined) this.services.stateLog.changed(line.what, line.details)
   }
--- a/src/actors/common/requests/serviceCalls.ts
+++ b/src/actors/common/requests/serviceCalls.ts
@@ -8,7 +8,7 @@
 import type { Failure, Result } from '../../../base/common/resultCode.ts'
 import { failure, resultCodes, success } from '../../../base/common/resultCode.ts'
 import type { Claim } from '../../../core/common/fold/claims.ts'
-import { claimKey, outsideWindow } from '../../../core/common/fold/claims.ts'
+import { claimKey, checkIssueTime } from '../../../core/common/fold/claims.ts'
 import { claimContext } from '../../../core/common/fold/fold.ts'
 import type { Outcome, RecordOf } from '../../../core/common/fold/records.ts'
 import type { RetryBudget } from '../../../core/common/requests/retryBudget.ts'
@@ -115,7 +115,7 @@
   /** What is known of the id already; undefined where it may be claimed. */
   private lookUp (request: OnceOnlyRequest): Result<ServiceAnswer> | undefined {
     const { state } = this.services.fold
-    const outside = outsideWindow(request.issuedAt, claimContext(state))
+    const outside = checkIssueTime(request.issuedAt, claimContext(state))
     if (outside !== undefined) return outside
     const claim = state.claims[claimKey(request.caller, request.id)]
     return claim?.attempt === undefined ? undefined : this.report(claim)
--- a/src/actors/common/routes/heldRequests.ts
+++ b/src/actors/common/routes/heldRequests.ts
@@ -11,9 +11,9 @@
 import type { Failure } from '../../../base/common/resultCode.ts'
 import { failure } from '../../../base/common/resultCode.ts'
 import { targetLife } from '../../../base/common/ids.ts'
-import type { Standing } from '../../../core/common/routes/endFold.ts'
-import { EndFold } from '../../../core/common/routes/endFold.ts'
-import { clearedRecord, endedRecord, trialRecord } from '../../../core/common/routes/endRecords.ts'
+import type { HoldState } from '../../../core/common/routes/heldRequestFold.ts'
+import { HeldRequestFold } from '../../../core/common/routes/heldRequestFold.ts'
+import { requestClearedRecord, targetEndedRecord, trialRecord } from '../../../core/common/routes/heldRequestRecords.ts'
 import type { Mechanisms } from '../../../core/common/mechanisms.ts'
 import type { Route } from '../../../core/common/routes/routeConfiguration.ts'
 import type { TargetDefinition } from '../../../core/common/routes/target.ts'
@@ -72,7 +72,7 @@
 }
 
 export class HeldRequests implements Disposable {
-  private readonly fold = new EndFold()
+  private readonly fold = new HeldRequestFold()
   /** Ends that the topic has not confirmed: a topic that is read anew does not hold them yet. */
   private readonly untold = new Set<TargetEnd>()
   private readonly changes = new Emitter<void>()
@@ -88,9 +88,9 @@
     return this.fold.counts
   }
 
-  standing (content: RequestContent): Standing {
+  standing (content: RequestContent): HoldState {
     if (this.fold.isEmpty || !this.services.mechanisms.held_requests) return { type: 'free' }
-    return this.fold.standing(this.fingerprintOf(content), this.services.clock.monotonic())
+    return this.fold.holdState(this.fingerprintOf(content), this.services.clock.monotonic())
   }
 
   /**
@@ -120,9 +120,9 @@
     if (standing.type === 'free') return
     const fingerprint = this.fingerprintOf(content)
     this.services.stateLog.decided('request cleared', { fingerprint, ends: standing.ends, was: standing.type })
-    this.fold.noteAnswer(fingerprint)
+    this.fold.recordAnswer(fingerprint)
     this.changes.fire()
-    this.tell('cleared', (nonce) => [clearedRecord(fingerprint, nonce)])
+    this.tell('cleared', (nonce) => [requestClearedRecord(fingerprint, nonce)])
   }
 
   /** Whether no host has seen the end of a target: its entry stays for seconds after. */
@@ -148,14 +148,14 @@
     if (!this.services.mechanisms.held_requests) return
     const { life, under } = end
     this.untold.add(end)
-    this.fold.noteEnd(life, under)
+    this.fold.recordEnd(life, under)
     const now = this.services.clock.monotonic()
     for (const fingerprint of under) {
-      const standing = this.fold.standing(fingerprint, now)
+      const standing = this.fold.holdState(fingerprint, now)
       if (standing.type === 'held') this.services.stateLog.decided('request held back', { fingerprint, target: life, ends: standing.ends, trials: standing.trials, failed: true })
     }
     this.changes.fire()
-    this.tell('ended', (nonce) => [endedRecord(life, under, nonce)], () => { this.untold.delete(end) })
+    this.tell('ended', (nonce) => [targetEndedRecord(life, under, nonce)], () => { this.untold.delete(end) })
   }
 
   private tell (kind: string, make: Parameters<GroupAppender['append']>[0], done: () => void = () => undefined): void {
@@ -167,7 +167,7 @@
 
   private reset (entries: readonly KeyedEntry[]): void {
     this.fold.reset(entries, this.services.clock.monotonic())
-    for (const { life, under } of this.untold) this.fold.noteEnd(life, under)
+    for (const { life, under } of this.untold) this.fold.recordEnd(life, under)
     this.changes.fire()
   }
 
@@ -197,7 +197,7 @@
       withdraw()
       return 'store away'
     }
-    if (!this.fold.isGranted(fingerprint, record.key)) {
+    if (!this.fold.isTrialGranted(fingerprint, record.key)) {
       withdraw()
       return 'not first'
     }
--- a/src/actors/common/routes/routeCalls.ts
+++ b/src/actors/common/routes/routeCalls.ts
@@ -8,10 +8,10 @@
 import { DisposableStore } from '../../../base/common/lifecycle.ts'
 import type { Result } from '../../../base/common/resultCode.ts'
 import { failure, success } from '../../../base/common/resultCode.ts'
-import { judgeAnswer } from '../../../core/common/routes/answerVerdict.ts'
+import { classifyAnswer } from '../../../core/common/routes/answerVerdict.ts'
 import type { Route } from '../../../core/common/routes/routeConfiguration.ts'
 import { pickDestination } from '../../../core/common/routes/routeConfiguration.ts'
-import { isBusy, lateAfterMs } from '../../../core/common/routes/silence.ts'
+import { isSaturated, hedgeDelayMs } from '../../../core/common/routes/hedging.ts'
 import { chooseTarget } from '../../../core/common/routes/targetChoice.ts'
 import type { RequestContent } from '../../../ports/common/fingerprints.ts'
 import type { TargetAnswer } from '../../../ports/common/targetClient.ts'
@@ -213,7 +213,7 @@
       signal: attempt.abort.signal
     }).then((result) => { this.ended(attempt, result) }, (error: unknown) => { this.ended(attempt, failure('unknownOutcome', String(error))) }).finally(() => { restart.dispose() })
     if (!this.repeatable || !services.mechanisms.second_sends) return
-    const lateMs = lateAfterMs({ objectiveMs: request.route.objectiveMs, allowedMs: this.allowedMs, answerMs: target.answerMs, background: request.background })
+    const lateMs = hedgeDelayMs({ objectiveMs: request.route.objectiveMs, allowedMs: this.allowedMs, answerMs: target.answerMs, background: request.background })
     this.timers.add(services.clock.after(lateMs, () => { this.late(attempt) }))
   }
 
@@ -226,7 +226,7 @@
     if (this.settled || !this.running.has(attempt)) return
     // It may be about to end its target, and a second one would end with it.
     if (this.services.held.standing(this.content).type !== 'free') return
-    const busy = isBusy(attempt.target)
+    const busy = isSaturated(attempt.target)
     // A background call leaves its slot to its second send: else silent ones hold all that such calls may have.
     if (this.request.background && !busy) release(attempt)
     // The same target tells a silent connection from a slow target; who waits has no time to learn that.
@@ -258,7 +258,7 @@
     const head = this.services.protocol.answerHead(result.value.status, result.value.headers)
     if (head.load !== undefined) target.reported(head.load)
     const answer: RoutedAnswer = { answer: result.value, target: target.definition.id, failures: this.failures }
-    const verdict = judgeAnswer(head, this.request.requestId)
+    const verdict = classifyAnswer(head, this.request.requestId)
     note(verdict)
     switch (verdict) {
       case 'answer':
--- a/src/actors/common/routes/streamCalls.ts
+++ b/src/actors/common/routes/streamCalls.ts
@@ -7,7 +7,7 @@
 
 import type { Failure } from '../../../base/common/resultCode.ts'
 import { failure } from '../../../base/common/resultCode.ts'
-import { judgeAnswer } from '../../../core/common/routes/answerVerdict.ts'
+import { classifyAnswer } from '../../../core/common/routes/answerVerdict.ts'
 import { pickDestination } from '../../../core/common/routes/routeConfiguration.ts'
 import { chooseTarget } from '../../../core/common/routes/targetChoice.ts'
 import type { ServerSentEvent } from '../../../core/common/streams/eventReader.ts'
@@ -170,7 +170,7 @@
       const { status, headers, pieces, cancel } = opened.value
       const head = protocol.answerHead(status, headers)
       if (head.load !== undefined) target.reported(head.load)
-      const verdict = judgeAnswer(head, request.requestId)
+      const verdict = classifyAnswer(head, request.requestId)
       if (verdict === 'not-run' || verdict === 'unusable' || (this.headSent && verdict !== 'answer')) {
         cancel()
         return await this.failedRun(target, run, verdict === 'not-run' ? 'not-run' : 'bad-answer')
--- a/src/actors/common/routes/targetTable.ts
+++ b/src/actors/common/routes/targetTable.ts
@@ -6,8 +6,8 @@
 
 import type { Event } from '../../../base/common/lifecycle.ts'
 import { Emitter } from '../../../base/common/lifecycle.ts'
-import type { LifeVerdict } from '../../../core/common/routes/incarnation.ts'
-import { judgeLife, LifeRecord } from '../../../core/common/routes/incarnation.ts'
+import type { IncarnationOrder } from '../../../core/common/routes/incarnation.ts'
+import { compareIncarnations, IncarnationTracker } from '../../../core/common/routes/incarnation.ts'
 import type { LoadReport, ModelVersion, TargetDefinition } from '../../../core/common/routes/target.ts'
 import type { TargetLoad } from '../../../core/common/routes/targetChoice.ts'
 import type { Incarnation } from '../../../base/common/ids.ts'
@@ -109,7 +109,7 @@
   private readonly former = new Map<string, KnownTarget>()
   /** Targets whose entries were missing after an outage of the store, with the monotonic time until which they may come back. */
   private readonly missing = new Map<string, number>()
-  private readonly lives = new LifeRecord()
+  private readonly lives = new IncarnationTracker()
   private readonly changes = new Emitter<void>()
   readonly onChange: Event<void> = this.changes.event
   private readonly restarts = new Emitter<RestartedTarget>()
@@ -141,10 +141,10 @@
   }
 
   /** Takes an entry; the verdict says whether it counts for the target's present life. */
-  set (definition: TargetDefinition): LifeVerdict {
-    const toldBefore = this.lives.areTold
-    const verdict = this.lives.judge(definition.id, definition.incarnation)
-    if (this.lives.areTold && !toldBefore) this.dropUntold()
+  set (definition: TargetDefinition): IncarnationOrder {
+    const toldBefore = this.lives.areReported
+    const verdict = this.lives.observe(definition.id, definition.incarnation)
+    if (this.lives.areReported && !toldBefore) this.dropUntold()
     switch (verdict) {
       case 'newer':
       case 'same': this.register(definition); break
@@ -158,11 +158,11 @@
    * What a target's own report says about its life. A report may tell of a start before the entry does;
    * one that names no life counts for the one that was asked.
    */
-  tell (target: KnownTarget, incarnation: Incarnation | undefined, models: readonly ModelVersion[]): LifeVerdict {
+  tell (target: KnownTarget, incarnation: Incarnation | undefined, models: readonly ModelVersion[]): IncarnationOrder {
     if (target.isOver) return 'newer'
     const { definition } = target
     if (definition.incarnation === undefined || incarnation === undefined) return 'same'
-    const verdict = judgeLife(definition.incarnation, incarnation)
+    const verdict = compareIncarnations(definition.incarnation, incarnation)
     if (verdict === 'newer' && this.targets.get(definition.id) === target) this.set({ ...definition, incarnation, models })
     else if (verdict === 'newer') this.endWithoutEntry(target, incarnation)
     return verdict
@@ -184,7 +184,7 @@
   }
 
   /** Takes one record of the store; the verdict on an entry says whether it counts. */
-  apply (record: TargetRecord, storeRegainedAt: number): LifeVerdict {
+  apply (record: TargetRecord, storeRegainedAt: number): IncarnationOrder {
     switch (record.type) {
       case 'entry': return this.set(record.definition)
       case 'gone':
@@ -217,7 +217,7 @@
     const known = this.targets.get(id) ?? this.former.get(id)
     this.missing.delete(id)
     this.former.delete(id)
-    if (known !== undefined && judgeLife(known.definition.incarnation, definition.incarnation) === 'newer') this.restart(known, definition)
+    if (known !== undefined && compareIncarnations(known.definition.incarnation, definition.incarnation) === 'newer') this.restart(known, definition)
     else this.targets.set(id, this.updated(known, definition))
     if (!isPresent && this.tellsOfEach) this.services.stateLog.changed('target registered', { target: id, service: definition.service, place: definition.place })
     this.changes.fire()
@@ -242,7 +242,7 @@
 
   /** The later life gets no work before it has an entry: without one it may be about to leave. */
   private endWithoutEntry (target: KnownTarget, incarnation: Incarnation): void {
-    this.lives.judge(target.definition.id, incarnation)
+    this.lives.observe(target.definition.id, incarnation)
     target.end()
   }
 
--- a/src/actors/common/routing/homes.ts
+++ b/src/actors/common/routing/homes.ts
@@ -3,7 +3,7 @@
 import type { ShardKey, SubscriptionName } from '../../../base/common/ids.ts'
 import { shardParts } from '../../../base/common/ids.ts'
 import type { Member } from '../../../core/common/membership/memberTable.ts'
-import { homeOf } from '../../../core/common/routing/rendezvous.ts'
+import { findHome } from '../../../core/common/routing/rendezvous.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { MembershipView } from '../membership/membership.ts'
 
@@ -12,17 +12,17 @@
 
   /** Home of a shard: admits to its targets and sends them orders. */
   ofShard (shard: ShardKey): Member | undefined {
-    return homeOf(this.hash, `shard ${shard}`, this.candidates(), shardParts(shard).place)
+    return findHome(this.hash, `shard ${shard}`, this.candidates(), shardParts(shard).place)
   }
 
   /** Home of a subscription: starts its rollouts. */
   ofSubscription (subscription: SubscriptionName): Member | undefined {
-    return homeOf(this.hash, `subscription ${subscription}`, this.candidates())
+    return findHome(this.hash, `subscription ${subscription}`, this.candidates())
   }
 
   /** The host that writes checkpoints. */
   ofCheckpoints (): Member | undefined {
-    return homeOf(this.hash, 'checkpoints', this.candidates())
+    return findHome(this.hash, 'checkpoints', this.candidates())
   }
 
   isSelf (member: Member | undefined): boolean {
--- a/src/actors/common/routing/shardHomes.ts
+++ b/src/actors/common/routing/shardHomes.ts
@@ -129,14 +129,14 @@
     const fresh = [...dead].filter((host) => !this.deadHolders.has(host))
     this.deadHolders = dead
     for (const host of fresh) {
-      for (const [shard, admission] of this.shards) this.carryOut(shard, admission.dropHolder(host, now))
+      for (const [shard, admission] of this.shards) this.carryOut(shard, admission.removeHolder(host, now))
     }
   }
 
   private expire (now: number): void {
     for (const [shard, admission] of this.shards) {
       this.carryOut(shard, admission.expire(now))
-      const unused = admission.queued === 0 && admission.running === 0
+      const unused = admission.queueLength === 0 && admission.runningCount === 0
       if (unused && this.services.directory.configured(shard).length === 0) this.shards.delete(shard)
     }
   }
--- a/src/actors/common/samples/subscriptionHomes.ts
+++ b/src/actors/common/samples/subscriptionHomes.ts
@@ -136,7 +136,7 @@
     for (const rollout of this.running.get(name) ?? []) {
       if (rollout.recording) continue
       const open = this.services.fold.state.subscriptions[name]?.groups[rollout.group]?.slots[rollout.index] === null
-      const tooOld = (rollout.progress.oldest ?? Infinity) < lowest
+      const tooOld = (rollout.progress.oldestVersion ?? Infinity) < lowest
       if (open && !elsewhere && !tooOld && subscription !== undefined) continue
       if (tooOld) this.services.metrics.count('rollouts.outdated')
       rollout.abort.abort()
--- a/src/actors/common/steps/engineBoard.ts
+++ b/src/actors/common/steps/engineBoard.ts
@@ -3,7 +3,7 @@
 import type { EngineLoad } from '../../../core/common/steps/engineChoice.ts'
 import { EnginePace, relativeSlowness } from '../../../core/common/steps/enginePace.ts'
 import type { Incarnation } from '../../../base/common/ids.ts'
-import type { LifeVerdict } from '../../../core/common/routes/incarnation.ts'
+import type { IncarnationOrder } from '../../../core/common/routes/incarnation.ts'
 import type { RouteTable } from '../../../core/common/routes/routeConfiguration.ts'
 import type { ModelVersion } from '../../../core/common/routes/target.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
@@ -84,7 +84,7 @@
   }
 
   /** What an engine's own report says about its life; after `newer` the engine is another one here too. */
-  tell (engine: Engine, incarnation: Incarnation | undefined, models: readonly ModelVersion[]): LifeVerdict {
+  tell (engine: Engine, incarnation: Incarnation | undefined, models: readonly ModelVersion[]): IncarnationOrder {
     return this.targets.tell(engine.target, incarnation, models)
   }
 
--- a/src/actors/common/steps/resultNotes.ts
+++ b/src/actors/common/steps/resultNotes.ts
@@ -50,5 +50,5 @@
   if (hasWantedGroups(step, position, carried) || !hasWantedGroups(step, position + 1, carried)) return
   const tookMs = clock.wall() - step.submittedAt
   metrics.timing('steps.wanted', tookMs)
-  stateLog.decided('wanted groups listed', { step: id, number, model, tookMs, dueMs: routes()?.find(host, path)?.dueMs ?? 0, listed: position + 1, item: result.item, ...phases })
+  stateLog.decided('wanted groups listed', { step: id, number, model, tookMs, dueMs: routes()?.findRoute(host, path)?.dueMs ?? 0, listed: position + 1, item: result.item, ...phases })
 }
--- a/src/actors/common/steps/sampleScorer.ts
+++ b/src/actors/common/steps/sampleScorer.ts
@@ -70,7 +70,7 @@
     const full = new Set<Route>()
     for (const next of this.queue.splice(0)) {
       if (next.cancelled.aborted) continue
-      const route = this.services.routes()?.find(next.call.host, next.call.path)
+      const route = this.services.routes()?.findRoute(next.call.host, next.call.path)
       // Calls of other routes go on: one route that is missing or full would otherwise keep all samples unscored.
       if (route === undefined || full.has(route) || !this.services.calls.hasRoom(route)) {
         if (route !== undefined) full.add(route)
--- a/src/actors/common/steps/stepHome.ts
+++ b/src/actors/common/steps/stepHome.ts
@@ -236,7 +236,7 @@
   }
 
   private routeOf (step: FoldedStep): Route | undefined {
-    return this.services.routes()?.find(step.submission.host, step.submission.path)
+    return this.services.routes()?.findRoute(step.submission.host, step.submission.path)
   }
 
   /** Starts waiting items of all steps; engines that are full for one of a step are so for the others of that step. */
--- a/src/actors/common/usage/usageReporter.ts
+++ b/src/actors/common/usage/usageReporter.ts
@@ -6,8 +6,8 @@
 import type { Disposable } from '../../../base/common/lifecycle.ts'
 import { DisposableStore } from '../../../base/common/lifecycle.ts'
 import type { SealedWindow } from '../../../core/common/usage/usageFold.ts'
-import type { UsageStep, UsageTimes } from '../../../core/common/usage/usagePlan.ts'
-import { nextUsageStep, windowAt } from '../../../core/common/usage/usagePlan.ts'
+import type { UsageAction, UsageTimes } from '../../../core/common/usage/usagePlan.ts'
+import { nextUsageAction, windowAt } from '../../../core/common/usage/usagePlan.ts'
 import { reportedRecord, sealRecord } from '../../../core/common/usage/usageRecords.ts'
 import { tombstone } from '../../../core/common/keyedRecords.ts'
 import type { Chance, Clock } from '../../../ports/common/clock.ts'
@@ -94,11 +94,11 @@
     return true
   }
 
-  private next (): UsageStep {
-    return nextUsageStep(this.ledger.fold, { acknowledged: this.acknowledged, firstWindow: this.firstWindow }, this.services.clock.wall(), this.times)
+  private next (): UsageAction {
+    return nextUsageAction(this.ledger.fold, { acknowledged: this.acknowledged, firstWindow: this.firstWindow }, this.services.clock.wall(), this.times)
   }
 
-  private async take (step: Exclude<UsageStep, { type: 'wait' }>): Promise<boolean> {
+  private async take (step: Exclude<UsageAction, { type: 'wait' }>): Promise<boolean> {
     const { log, chance } = this.services
     switch (step.type) {
       // A seal without an answer may stand all the same: what counts is what the topic says when it is read again.
@@ -135,7 +135,7 @@
   }
 
   private tellLate (): void {
-    const requests = this.ledger.fold.takeLate()
+    const requests = this.ledger.fold.takeLateCount()
     if (requests === 0) return
     this.services.stateLog.alarm('usage counted too late for its report', { requests })
   }
--- a/src/commandLine/node/explainCommand.ts
+++ b/src/commandLine/node/explainCommand.ts
@@ -5,9 +5,9 @@
 import type { Result } from '../../base/common/resultCode.ts'
 import { failure, success } from '../../base/common/resultCode.ts'
 import type { LogLine } from '../../core/common/explanation/explanation.ts'
-import { explain, formatStory } from '../../core/common/explanation/explanation.ts'
-import { formatLosses, lossesOf } from '../../core/common/explanation/losses.ts'
-import { formatAccount, stepAccounts } from '../../core/common/explanation/stepAccount.ts'
+import { explain, formatTimeline } from '../../core/common/explanation/explanation.ts'
+import { formatLosses, analyzeLosses } from '../../core/common/explanation/losses.ts'
+import { formatStepSummary, summarizeSteps } from '../../core/common/explanation/stepSummary.ts'
 
 /** Reads files and gives the story of a request, an item or a step as text; that of a step begins with its account. */
 export async function explainFromFiles (id: string, files: readonly string[]): Promise<Result<string>> {
@@ -16,8 +16,8 @@
   const lines = read.value
   const story = explain(lines, id)
   if (story.length === 0) return failure('notFound', `no line of ${lines.length} names ${id}`)
-  const account = stepAccounts(lines).find(({ step }) => step === id)
-  return success(account === undefined ? formatStory(story) : `${formatAccount(account)}\n\n${formatStory(story)}`)
+  const account = summarizeSteps(lines).find(({ step }) => step === id)
+  return success(account === undefined ? formatTimeline(story) : `${formatStepSummary(account)}\n\n${formatTimeline(story)}`)
 }
 
 /**
@@ -28,7 +28,7 @@
 export async function lossesFromFiles (files: readonly string[]): Promise<Result<string>> {
   const read = await readFiles(files, true)
   if (!read.ok) return read
-  const report = lossesOf(read.value)
+  const report = analyzeLosses(read.value)
   return report.steps === 0 ? failure('notFound', `no line of ${read.value.length} tells that a step was accepted`) : success(formatLosses(report))
 }
 
--- a/src/core/common/explanation/explanation.ts
+++ b/src/core/common/explanation/explanation.ts
@@ -1,12 +1,12 @@
 /**
- * The story of a request, an item or a step from the log lines of several hosts: the lines that
- * name it, those of what they name (the step of an item, the targets that were tried), and what the
- * hosts concerned believed changed meanwhile, without what is about hosts, targets, topics and models
- * that had no part in it.
+ * The timeline of a request, an item or a step from the log lines of several hosts. It consists of the
+ * lines that mention the id, the lines about what these mention (the step of an item, the targets that
+ * were tried), and the status changes that the involved hosts logged in the meantime. Lines about
+ * hosts, targets, topics and models that were not involved are left out.
  */
 
 export interface LogLine {
-  /** Milliseconds since the epoch by the writing host's clock; hosts differ a little. */
+  /** Milliseconds since the Unix epoch by the clock of the host that wrote the line; clocks of hosts differ slightly. */
   readonly time: number
   readonly host: string
   readonly type: string
@@ -14,79 +14,79 @@
   readonly details: Readonly<Record<string, unknown>>
 }
 
-/** How long before and after the lines about an id changes of belief still matter, in milliseconds: the longest outage that a request meets. */
-const AROUND_MS = 3000
+/** Status changes are included up to this time before and after the lines about an id. It is the longest outage that a request encounters. */
+const CONTEXT_WINDOW_MS = 3000
 
-/** Lines that tell what became of an id, in the order of their times. */
+/** Returns the lines that explain what happened to an id, ordered by time. */
 export function explain (lines: readonly LogLine[], id: string): LogLine[] {
-  const own = lines.filter((line) => names(line, id))
-  if (own.length === 0) return []
-  const steps = new Set(own.flatMap(({ details }) => typeof details.step === 'string' ? [details.step] : []))
-  const ofSteps = lines.filter(({ what, details }) => typeof details.step === 'string' && steps.has(details.step) && details.item === undefined && what.startsWith('step'))
-  // A request that is held back is so for what other hosts saw of its repeats.
-  const fingerprints = namesOf(new Set(own), 'fingerprint')
-  const ofRepeats = lines.filter((line) => [...fingerprints].some((fingerprint) => names(line, fingerprint)))
-  const ofRecords = lines.filter((line) => [id, ...steps].some((named) => namesInKey(line, named)))
-  const story = new Set([...own, ...ofSteps, ...ofRepeats, ...ofRecords])
-  const parts: Parts = {
-    targets: new Set([...story].flatMap(targetsIn)),
-    hosts: new Set([...story].map(({ host }) => host)),
-    topics: namesOf(story, 'topic'),
-    models: namesOf(story, 'model')
+  const direct = lines.filter((line) => mentions(line, id))
+  if (direct.length === 0) return []
+  const steps = new Set(direct.flatMap(({ details }) => typeof details.step === 'string' ? [details.step] : []))
+  const stepLines = lines.filter(({ what, details }) => typeof details.step === 'string' && steps.has(details.step) && details.item === undefined && what.startsWith('step'))
+  // A request is held back because of ends of targets that other hosts reported for its repeats.
+  const fingerprints = collectDetail(new Set(direct), 'fingerprint')
+  const repeatLines = lines.filter((line) => [...fingerprints].some((fingerprint) => mentions(line, fingerprint)))
+  const recordLines = lines.filter((line) => [id, ...steps].some((named) => keyMentions(line, named)))
+  const timeline = new Set([...direct, ...stepLines, ...repeatLines, ...recordLines])
+  const related: RelatedNames = {
+    targets: new Set([...timeline].flatMap(mentionedTargets)),
+    hosts: new Set([...timeline].map(({ host }) => host)),
+    topics: collectDetail(timeline, 'topic'),
+    models: collectDetail(timeline, 'model')
   }
-  const from = Math.min(...[...story].map(({ time }) => time)) - AROUND_MS
-  const until = Math.max(...[...story].map(({ time }) => time)) + AROUND_MS
+  const from = Math.min(...[...timeline].map(({ time }) => time)) - CONTEXT_WINDOW_MS
+  const until = Math.max(...[...timeline].map(({ time }) => time)) + CONTEXT_WINDOW_MS
   for (const line of lines) {
     if (line.time < from || line.time > until || line.type === 'decided') continue
-    if (parts.hosts.has(line.host) && hadPart(line, parts)) story.add(line)
+    if (related.hosts.has(line.host) && isRelated(line, related)) timeline.add(line)
   }
-  return [...story].sort((a, b) => a.time - b.time)
+  return [...timeline].sort((a, b) => a.time - b.time)
 }
 
-/** What the lines about an id name. */
-interface Parts {
+/** Names that occur in the lines about an id. */
+interface RelatedNames {
   readonly targets: ReadonlySet<string>
   readonly hosts: ReadonlySet<string>
   readonly topics: ReadonlySet<string>
   readonly models: ReadonlySet<string>
 }
 
-/** Whether a change of belief is about something that had a part; where no line names a topic or a model, any may have had one. */
-function hadPart ({ what, details }: LogLine, { targets, hosts, topics, models }: Parts): boolean {
+/** Whether a status change concerns something that is related to the id. If no line names a topic or a model, any may be related. */
+function isRelated ({ what, details }: LogLine, { targets, hosts, topics, models }: RelatedNames): boolean {
   if (what === 'hosts known') return false
   if (typeof details.target === 'string') return targets.has(details.target)
   if (typeof details.member === 'string') return hosts.has(details.member)
   if (typeof details.model === 'string') return models.size === 0 || models.has(details.model)
-  // An outage of the store is kept whatever its topic: the records of one item are in several.
+  // An outage of the store is kept for every topic, as the records of one item are spread over several topics.
   if (what === 'topic loaded' && typeof details.topic === 'string') return topics.size === 0 || topics.has(details.topic)
   return true
 }
 
-function namesOf (story: ReadonlySet<LogLine>, detail: string): Set<string> {
-  return new Set([...story].map(({ details }) => details[detail]).filter((name): name is string => typeof name === 'string' && name !== ''))
+function collectDetail (lines: ReadonlySet<LogLine>, detail: string): Set<string> {
+  return new Set([...lines].map(({ details }) => details[detail]).filter((name): name is string => typeof name === 'string' && name !== ''))
 }
 
-/** Whether a line tells of a record with this id in its key. */
-function namesInKey ({ details }: LogLine, id: string): boolean {
+/** Whether a line refers to a record with this id in its key. */
+function keyMentions ({ details }: LogLine, id: string): boolean {
   return typeof details.key === 'string' && details.key.split('/').includes(encodeURIComponent(id))
 }
 
-function names ({ details }: LogLine, id: string): boolean {
+function mentions ({ details }: LogLine, id: string): boolean {
   return Object.values(details).includes(id) || [details.requests, details.fingerprints].some((list) => typeof list === 'string' && list.split(' ').includes(id))
 }
 
-/** Targets that a line names, tried ones among them. */
-function targetsIn ({ details }: LogLine): string[] {
-  const tried = typeof details.attempts === 'string' ? details.attempts.split(' ').map((attempt) => attempt.split(':')[0] ?? '') : []
-  return [details.target, details.engine, ...tried].filter((name): name is string => typeof name === 'string' && name !== '')
+/** Returns the targets that a line mentions, including those of attempts. */
+function mentionedTargets ({ details }: LogLine): string[] {
+  const attemptedTargets = typeof details.attempts === 'string' ? details.attempts.split(' ').map((attempt) => attempt.split(':')[0] ?? '') : []
+  return [details.target, details.engine, ...attemptedTargets].filter((name): name is string => typeof name === 'string' && name !== '')
 }
 
-/** Writes a story, one line each, with the time since its first line. */
-export function formatStory (story: readonly LogLine[]): string {
-  const first = story[0]?.time ?? 0
-  return story.map(({ time, host, type, what, details }) => {
-    const told = Object.entries(details).filter(([, value]) => value !== '').map(([name, value]) => `${name}=${String(value)}`).join(' ')
+/** Formats a timeline as text, one log line per line, with the time since the first one. */
+export function formatTimeline (timeline: readonly LogLine[]): string {
+  const first = timeline[0]?.time ?? 0
+  return timeline.map(({ time, host, type, what, details }) => {
+    const formattedDetails = Object.entries(details).filter(([, value]) => value !== '').map(([name, value]) => `${name}=${String(value)}`).join(' ')
     const mark = type === 'alarm' ? '!' : type === 'changed' ? '~' : ' '
-    return `${((time - first) / 1000).toFixed(3).padStart(9)} s ${mark} ${host.padEnd(28)} ${what}: ${told}`
+    return `${((time - first) / 1000).toFixed(3).padStart(9)} s ${mark} ${host.padEnd(28)} ${what}: ${formattedDetails}`
   }).join('\n')
 }
--- a/src/core/common/fold/checkpoint.ts
+++ b/src/core/common/fold/checkpoint.ts
@@ -1,7 +1,7 @@
 /**
- * Checkpoints: the folded state, written to a stream of its own before the log forgets the entries
- * that made it. A checkpoint is cut into chunks that fit an entry; one that is incomplete or whose
- * digest is wrong is passed over for an older one.
+ * Checkpoints of the folded state. They are written to a separate stream before the log truncates
+ * the entries they were folded from. A checkpoint is split into chunks that fit into a log entry. A
+ * checkpoint that is incomplete or fails its digest check is ignored in favour of an older one.
  */
 
 import { z } from 'zod'
@@ -10,14 +10,14 @@
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Log } from '../../../ports/common/log.ts'
 
-/** A whole checkpoint: the state's text and the offset of the next entry to fold. */
+/** A complete checkpoint: the serialized state and the offset of the next entry to fold. */
 export interface Checkpoint {
   readonly offset: number
   readonly text: string
 }
 
-const CHUNK_CHARACTERS = 200_000
-const PAGE_ENTRIES = 100
+const MAX_CHUNK_CHARACTERS = 200_000
+const MAX_PAGE_ENTRIES = 100
 
 const chunkSchema = z.strictObject({
   id: z.string(),
@@ -30,9 +30,9 @@
 
 type Chunk = z.infer<typeof chunkSchema>
 
-/** Cuts a checkpoint into entries for the log. */
+/** Splits a checkpoint into log entries. */
 export function encodeCheckpoint (checkpoint: Checkpoint, id: string, hash: Hash): string[] {
-  const of = Math.max(1, Math.ceil(checkpoint.text.length / CHUNK_CHARACTERS))
+  const of = Math.max(1, Math.ceil(checkpoint.text.length / MAX_CHUNK_CHARACTERS))
   const digest = hash.digest(checkpoint.text)
   return Array.from({ length: of }, (_, index) => JSON.stringify({
     id,
@@ -40,16 +40,16 @@
     index,
     of,
     digest,
-    data: checkpoint.text.slice(index * CHUNK_CHARACTERS, (index + 1) * CHUNK_CHARACTERS)
+    data: checkpoint.text.slice(index * MAX_CHUNK_CHARACTERS, (index + 1) * MAX_CHUNK_CHARACTERS)
   } satisfies Chunk))
 }
 
-/** Finds the newest whole checkpoint that the log keeps; undefined where there is none. */
-export async function newestCheckpoint (log: Log, hash: Hash): Promise<Result<Checkpoint | undefined>> {
+/** Reads the newest complete checkpoint that the log still retains, or `undefined` if there is none. */
+export async function readNewestCheckpoint (log: Log, hash: Hash): Promise<Result<Checkpoint | undefined>> {
   const chunks = new Map<string, Chunk[]>()
   let from = 0
   for (;;) {
-    const page = await log.read('checkpoint', from, { maximumEntries: PAGE_ENTRIES, waitMs: 0 })
+    const page = await log.read('checkpoint', from, { maximumEntries: MAX_PAGE_ENTRIES, waitMs: 0 })
     if (!page.ok) return page
     for (const entry of page.value.entries) {
       const chunk = decodeChunk(entry.data)
@@ -61,7 +61,7 @@
   }
   let newest: Checkpoint | undefined
   for (const parts of chunks.values()) {
-    const checkpoint = assemble(parts, hash)
+    const checkpoint = assembleCheckpoint(parts, hash)
     if (checkpoint !== undefined && checkpoint.offset >= (newest?.offset ?? 0)) newest = checkpoint
   }
   return success(newest)
@@ -76,7 +76,7 @@
   }
 }
 
-function assemble (parts: readonly Chunk[], hash: Hash): Checkpoint | undefined {
+function assembleCheckpoint (parts: readonly Chunk[], hash: Hash): Checkpoint | undefined {
   const [first] = parts
   if (first === undefined) return undefined
   const byIndex = new Map(parts.map((part) => [part.index, part.data]))
--- a/src/core/common/fold/fold.ts
+++ b/src/core/common/fold/fold.ts
@@ -1,10 +1,10 @@
 /**
- * The fold of the control stream. Every host that has read the log up to an offset holds the same
- * state, so every race (operators, once-only requests, leases, trainers' pulls) is decided by the
- * order of the log and nowhere else. Nothing here reads a clock or a random source: a host with
- * another clock would fold differently and hosts would part for good.
+ * The fold of the control stream. All hosts that have read the log up to the same offset hold the
+ * same state, so every race (between operators, once-only requests, leases or trainers' pulls) is
+ * resolved by the order of the log alone. The fold must be deterministic: code here reads neither a
+ * clock nor a random source, since hosts with different clocks would diverge permanently.
  *
- * The fold owns its state and changes it in place; `snapshot` gives the text of a checkpoint.
+ * The fold owns its state and changes it in place; `snapshot` serializes it for a checkpoint.
  */
 
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -14,7 +14,7 @@
 import type { Configuration } from './configuration.ts'
 import { applyCommand, emptyConfiguration, findObject } from './configuration.ts'
 import type { ClaimContext, Claims } from './claims.ts'
-import { applyClaim, applyOutcome, applyRelease, outsideWindow, pruneClaims } from './claims.ts'
+import { applyClaim, applyOutcome, applyRelease, checkIssueTime, pruneClaims } from './claims.ts'
 import type { Leases } from './leases.ts'
 import { applyLease, applyLeaseEnd } from './leases.ts'
 import type { Batch, SubscriptionState, Subscriptions } from './subscriptions.ts'
@@ -22,15 +22,15 @@
 import type { ControlRecord, RecordOf } from './records.ts'
 import { decodeEnvelope } from './records.ts'
 
-/** Format of a checkpoint; a host refuses one that it does not know. */
-export const STATE_FORMAT = 1
-/** How long ids of requests, commands and groups are remembered, in milliseconds. */
-export const WINDOW_MS = 10 * 60_000
-/** Share of the window after which old ids are looked for. */
-const PRUNE_EVERY_MS = WINDOW_MS / 20
-const AUDIT_LENGTH = 500
+/** Format version of the serialized state; a host rejects checkpoints of any other version. */
+export const STATE_FORMAT_VERSION = 1
+/** How long ids of requests, commands and groups are kept for deduplication. */
+export const DEDUPLICATION_WINDOW_MS = 10 * 60_000
+/** Interval at which expired ids are pruned. */
+const PRUNE_INTERVAL_MS = DEDUPLICATION_WINDOW_MS / 20
+const MAX_AUDIT_ENTRIES = 500
 
-/** One line of the audit trail. */
+/** One entry of the audit trail. */
 export interface AuditEntry {
   readonly at: number
   readonly by: string
@@ -40,17 +40,17 @@
   readonly verdict: string
 }
 
-/** The folded state; JSON as it stands. */
+/** The folded state. It is plain JSON data and is stored as is in checkpoints. */
 export interface FoldState {
-  readonly format: typeof STATE_FORMAT
+  readonly format: typeof STATE_FORMAT_VERSION
   /** Offset of the next entry to fold. */
   offset: number
-  /** Records folded so far: the revision number of whatever a record changes. */
+  /** Number of records folded so far. The sequence number of a record is the revision of what it changes. */
   sequence: number
-  /** Latest author's stamp seen. */
+  /** The latest timestamp that any author has written into a record. */
   time: number
   prunedAt: number
-  /** Records and envelopes that could not be read. */
+  /** Number of records and envelopes that could not be read. */
   skipped: number
   /** Revision of the last accepted command. */
   configurationRevision: number
@@ -62,7 +62,7 @@
   audit: AuditEntry[]
 }
 
-/** What the fold decided on one record. */
+/** The result of folding one record. */
 export interface Verdict {
   readonly record: ControlRecord
   readonly result: Result<number | Batch | void>
@@ -70,7 +70,7 @@
 
 export function emptyState (): FoldState {
   return {
-    format: STATE_FORMAT,
+    format: STATE_FORMAT_VERSION,
     offset: 0,
     sequence: 0,
     time: 0,
@@ -86,9 +86,9 @@
   }
 }
 
-/** Folds one entry of the log; entries must come without gaps, in order. */
+/** Folds one entry of the log. Entries must be folded in order and without gaps. */
 export function foldEntry (state: FoldState, offset: number, data: string): Verdict[] {
-  if (offset !== state.offset) throw new Error(`entry ${offset} where ${state.offset} is due`)
+  if (offset !== state.offset) throw new Error(`unexpected log entry ${offset}: expected offset ${state.offset}`)
   const { records, skipped } = decodeEnvelope(data)
   state.skipped += skipped
   const verdicts = records.map((record) => ({ record, result: foldRecord(state, record) }))
@@ -116,17 +116,17 @@
   }
 }
 
-/** The window in which ids are remembered, as the state has it now. */
+/** Returns the deduplication window at the current time of the fold. */
 export function claimContext (state: FoldState): ClaimContext {
-  return { time: state.time, windowMs: WINDOW_MS }
+  return { time: state.time, windowMs: DEDUPLICATION_WINDOW_MS }
 }
 
 function foldCommand (state: FoldState, record: RecordOf<'command'>): Result<number> {
   const earlier = state.commands[record.id]
   if (earlier !== undefined) return earlier.verdict
-  const expired = record.at < state.time - WINDOW_MS
+  const expired = record.at < state.time - DEDUPLICATION_WINDOW_MS
   const verdict = expired
-    ? failure('commandExpired', 'the command reached the log too late')
+    ? failure('commandExpired', `the command reached the log more than ${DEDUPLICATION_WINDOW_MS} ms after it was issued`)
     : applyCommand(state.configuration, record.command, { by: record.by, revision: state.sequence })
   if (!expired) state.commands[record.id] = { at: record.at, verdict }
   if (verdict.ok) {
@@ -141,13 +141,13 @@
     revision: state.sequence,
     verdict: verdict.ok ? 'accepted' : verdict.code
   })
-  if (state.audit.length > AUDIT_LENGTH) state.audit.shift()
+  if (state.audit.length > MAX_AUDIT_ENTRIES) state.audit.shift()
   return verdict
 }
 
 function foldSubmit (state: FoldState, record: RecordOf<'submit'>): Result<void> {
-  const refused = outsideWindow(record.issuedAt, claimContext(state))
-  if (refused !== undefined) return refused
+  const outOfWindow = checkIssueTime(record.issuedAt, claimContext(state))
+  if (outOfWindow !== undefined) return outOfWindow
   return withSubscription(state, record.subscription, (found) => applySubmit(found, record))
 }
 
@@ -159,36 +159,36 @@
   return withSubscription(state, record.subscription, (found) => applyPull(found, record, { newest, staleness }))
 }
 
-function withSubscription<T> (state: FoldState, name: string, decide: (found: SubscriptionState) => Result<T>): Result<T> {
+function withSubscription<T> (state: FoldState, name: string, apply: (found: SubscriptionState) => Result<T>): Result<T> {
   if (findObject(state.configuration, 'subscription', name) === undefined) {
     return failure('notFound', `there is no subscription ${name}`)
   }
   state.subscriptions[name] ??= emptySubscription()
-  return decide(state.subscriptions[name])
+  return apply(state.subscriptions[name])
 }
 
 function prune (state: FoldState): void {
-  if (state.time - state.prunedAt < PRUNE_EVERY_MS) return
+  if (state.time - state.prunedAt < PRUNE_INTERVAL_MS) return
   state.prunedAt = state.time
   pruneClaims(state.claims, claimContext(state))
-  for (const found of Object.values(state.subscriptions)) pruneFinished(found, state.time - WINDOW_MS)
+  for (const found of Object.values(state.subscriptions)) pruneFinished(found, state.time - DEDUPLICATION_WINDOW_MS)
   for (const [id, command] of Object.entries(state.commands)) {
-    if (command.at < state.time - WINDOW_MS) delete state.commands[id]
+    if (command.at < state.time - DEDUPLICATION_WINDOW_MS) delete state.commands[id]
   }
 }
 
-/** Text of the state: alike on all hosts at one offset. */
+/** Serializes the state. The text is identical on all hosts at the same offset. */
 export function snapshot (state: FoldState): string {
   return JSON.stringify(state)
 }
 
-/** Reads a snapshot; a format of another version of the program is refused. */
+/** Parses a snapshot; one with a different format version is rejected. */
 export function restore (text: string): Result<FoldState> {
   let parsed: FoldState
   try {
     parsed = JSON.parse(text) as FoldState
   } catch (error) {
-    return failure('malformed', `checkpoint: ${String(error)}`)
+    return failure('malformed', `checkpoint is not valid JSON: ${String(error)}`)
   }
-  return parsed.format === STATE_FORMAT ? success(parsed) : failure('malformed', `checkpoint of format ${String(parsed.format)}`)
+  return parsed.format === STATE_FORMAT_VERSION ? success(parsed) : failure('malformed', `checkpoint has format version ${String(parsed.format)}; expected ${STATE_FORMAT_VERSION}`)
 }
--- a/src/core/common/fold/records.ts
+++ b/src/core/common/fold/records.ts
@@ -1,28 +1,28 @@
 /**
- * Records of the control stream. An entry of the platform's log is one envelope of several records
- * (group commit); the fold decides every record in log order. A record carries an id chosen by its
- * author, so that appending it again after a lost answer changes nothing.
+ * Records of the control stream. An entry of the platform's log is one envelope with several records
+ * (group commit); the fold processes the records in log order. A record carries an id chosen by its
+ * author, so appending it again after a lost response is idempotent.
  *
- * Prompts and texts are not here: they lie in the payload stream and records refer to them by
- * offset. A host folds the whole control stream, so what stands here costs every host.
+ * Prompts and texts are not part of these records. They are stored in the payload stream and are
+ * referenced by offset, because every host has to fold the whole control stream.
  */
 
 import { z } from 'zod'
 import { commandSchema } from './command.ts'
 
-/** Version of the envelope; a host skips envelopes of a version that it does not know. */
+/** Version of the envelope format; a host skips envelopes of any other version. */
 export const ENVELOPE_VERSION = 1
-/** Records in one envelope at most; more is a fault of the author and is skipped everywhere alike. */
-export const MAXIMUM_RECORDS = 1024
+/** Maximum number of records in an envelope. All hosts skip an envelope that exceeds it. */
+export const MAX_RECORDS_PER_ENVELOPE = 1024
 
-/** Names that every JavaScript object inherits would be found in a table that does not have them. */
+/** Rejects names that every JavaScript object inherits, since a look-up in a table would find them without an entry. */
 const name = z.string().min(1).max(200).refine((value) => !(value in {}), 'this name is reserved')
 const count = z.number().int().nonnegative()
 
-/** Where a payload lies: the entry of the payload stream, and the item inside it. */
+/** Location of a payload: the entry of the payload stream, and the item within that entry. */
 const payloadSchema = z.strictObject({ offset: count, item: count })
 
-/** A run of tokens that one weight version produced, as the engine reported it. */
+/** A range of tokens that one weight version produced, as reported by the engine. */
 const segmentSchema = z.strictObject({ version: count, from: count, to: count })
 
 const sampleSchema = z.strictObject({
@@ -38,49 +38,47 @@
   z.strictObject({ state: z.literal('unknown') })
 ])
 
-const base = { id: name, at: count }
-const claimKey = { caller: name, request: name, attempt: name, issuedAt: count }
+const commonFields = { id: name, at: count }
+const claimFields = { caller: name, request: name, attempt: name, issuedAt: count }
 
 const recordSchema = z.discriminatedUnion('kind', [
-  z.strictObject({ kind: z.literal('command'), ...base, by: name, command: commandSchema }),
-  z.strictObject({ kind: z.literal('claim'), ...base, ...claimKey, holder: name }),
-  z.strictObject({ kind: z.literal('release'), ...base, ...claimKey }),
-  z.strictObject({ kind: z.literal('outcome'), ...base, ...claimKey, outcome: outcomeSchema }),
-  z.strictObject({ kind: z.literal('lease'), ...base, shard: name, holder: name, ifEpoch: count, durationMs: count }),
-  z.strictObject({ kind: z.literal('lease-end'), ...base, shard: name, holder: name, ifEpoch: count }),
-  z.strictObject({ kind: z.literal('submit'), ...base, subscription: name, group: name, step: count, samples: z.number().int().min(1).max(1024), issuedAt: count, digest: name, payload: payloadSchema }),
-  z.strictObject({ kind: z.literal('samples'), ...base, subscription: name, items: z.array(sampleSchema).min(1).max(1024) }),
-  z.strictObject({ kind: z.literal('moved'), ...base, subscription: name, group: name, prompt: payloadSchema.optional(), samples: z.array(z.strictObject({ index: count, from: payloadSchema, to: payloadSchema })).max(1024) }),
-  z.strictObject({ kind: z.literal('pull'), ...base, subscription: name, cursor: count, version: count, maximum: z.number().int().min(1).max(100000) }),
-  z.strictObject({ kind: z.literal('tick'), ...base })
+  z.strictObject({ kind: z.literal('command'), ...commonFields, by: name, command: commandSchema }),
+  z.strictObject({ kind: z.literal('claim'), ...commonFields, ...claimFields, holder: name }),
+  z.strictObject({ kind: z.literal('release'), ...commonFields, ...claimFields }),
+  z.strictObject({ kind: z.literal('outcome'), ...commonFields, ...claimFields, outcome: outcomeSchema }),
+  z.strictObject({ kind: z.literal('lease'), ...commonFields, shard: name, holder: name, ifEpoch: count, durationMs: count }),
+  z.strictObject({ kind: z.literal('lease-end'), ...commonFields, shard: name, holder: name, ifEpoch: count }),
+  z.strictObject({ kind: z.literal('submit'), ...commonFields, subscription: name, group: name, step: count, samples: z.number().int().min(1).max(1024), issuedAt: count, digest: name, payload: payloadSchema }),
+  z.strictObject({ kind: z.literal('samples'), ...commonFields, subscription: name, items: z.array(sampleSchema).min(1).max(1024) }),
+  z.strictObject({ kind: z.literal('moved'), ...commonFields, subscription: name, group: name, prompt: payloadSchema.optional(), samples: z.array(z.strictObject({ index: count, from: payloadSchema, to: payloadSchema })).max(1024) }),
+  z.strictObject({ kind: z.literal('pull'), ...commonFields, subscription: name, cursor: count, version: count, maximum: z.number().int().min(1).max(100000) }),
+  z.strictObject({ kind: z.literal('tick'), ...commonFields })
 ])
 
-const envelopeSchema = z.strictObject({ v: z.literal(ENVELOPE_VERSION), records: z.array(z.unknown()).max(MAXIMUM_RECORDS) })
+const envelopeSchema = z.strictObject({ v: z.literal(ENVELOPE_VERSION), records: z.array(z.unknown()).max(MAX_RECORDS_PER_ENVELOPE) })
 
-/** A record of the control stream. */
 export type ControlRecord = z.infer<typeof recordSchema>
-/** A record of one kind. */
 export type RecordOf<Kind extends ControlRecord['kind']> = Extract<ControlRecord, { kind: Kind }>
 export type Segment = z.infer<typeof segmentSchema>
 export type PayloadReference = z.infer<typeof payloadSchema>
 export type SampleRecord = z.infer<typeof sampleSchema>
 export type Outcome = z.infer<typeof outcomeSchema>
 
-/** Writes records as one entry of the log. */
+/** Encodes records as one log entry. */
 export function encodeEnvelope (records: readonly ControlRecord[]): string {
   return JSON.stringify({ v: ENVELOPE_VERSION, records })
 }
 
-/** What an entry holds: its readable records, and how many parts of it were skipped. */
+/** The readable records of a log entry, and the number of records or envelopes that were skipped. */
 export interface DecodedEnvelope {
   readonly records: readonly ControlRecord[]
   readonly skipped: number
 }
 
 /**
- * Reads an entry. One record that cannot be read would stop every host at the same offset, or be
- * read by some and not by others; so what does not match the schema is skipped, by this same rule
- * everywhere, and counted.
+ * Decodes a log entry. An unreadable record must neither stop every host at the same offset nor be
+ * read by some hosts and not by others. Therefore all hosts apply the same rule: whatever does not
+ * match the schema is skipped and counted.
  */
 export function decodeEnvelope (data: string): DecodedEnvelope {
   let parsed: unknown
@@ -101,7 +99,7 @@
   return { records, skipped }
 }
 
-/** The lowest weight version among segments: what staleness is judged by. */
+/** Returns the lowest weight version among segments, which determines the staleness of a sample. */
 export function oldestVersion (segments: readonly Segment[]): number {
   return Math.min(...segments.map((segment) => segment.version))
 }
--- a/src/core/common/fold/subscriptions.ts
+++ b/src/core/common/fold/subscriptions.ts
@@ -1,11 +1,12 @@
 /**
- * Samples on their way to trainers. A slot is (subscription, group, index); the first record of a
- * slot in log order is the sample, later ones are dropped. A group whose slots are all filled waits
- * in `ready`, in the order of the fold, until a pull hands it over.
+ * Delivery of samples to trainers. A slot is identified by subscription, group and index. The first
+ * record of a slot in log order is the sample; later ones are dropped as duplicates. A group whose
+ * slots are all filled is queued in `ready`, in the order of the fold, until a pull delivers it.
  *
- * Two hosts that know different newest versions could answer the same pull differently: one hands a
- * group over, the other finds it too old and has it generated again, and the trainer gets it twice.
- * So the verdict of a pull is decided here, in the total order, and hosts only report it.
+ * If hosts answered pulls on their own, two hosts that know different newest versions could answer
+ * the same pull differently: one delivers a group, the other rejects it as stale and has it generated
+ * again, and the trainer gets it twice. Therefore the fold decides pulls in log order, and hosts only
+ * report the result.
  */
 
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -13,40 +14,40 @@
 import type { PayloadReference, RecordOf, SampleRecord, Segment } from './records.ts'
 import { oldestVersion } from './records.ts'
 
-/** A recorded sample: what is needed to judge it, and where its text lies. */
+/** A recorded sample: its versions, its score, and the location of its text. */
 export interface Sample {
   readonly segments: readonly Segment[]
   readonly score: number
   payload: PayloadReference
 }
 
-/** A submitted group of prompts' samples that has not been acknowledged. */
+/** A submitted group of samples of one prompt that has not been acknowledged. */
 export interface Group {
   readonly step: number
   readonly digest: string
   readonly issuedAt: number
   prompt: PayloadReference
-  /** Fold time at which the group's payloads were last appended. */
+  /** Time of the fold at which the group's payloads were last appended. */
   refreshedAt: number
   readonly slots: (Sample | null)[]
 }
 
-/** The batch that the trainer was last given and has not acknowledged. */
-export interface Handover {
+/** The batch that was last delivered to the trainer and is not yet acknowledged. */
+export interface PendingBatch {
   readonly cursor: number
   readonly version: number
   readonly maximum: number
   readonly groups: string[]
 }
 
-/** All that is known of one subscription. */
+/** Folded state of one subscription. */
 export interface SubscriptionState {
   groups: Record<string, Group>
   ready: string[]
-  handover?: Handover
-  /** Cursor up to which the trainer has acknowledged. */
+  handover?: PendingBatch
+  /** Cursor up to which the trainer has acknowledged batches. */
   acknowledged: number
-  /** Acknowledged groups with their time of issue: a repeated submission must not start them again. */
+  /** Acknowledged groups with their time of issue, kept so that a repeated submission does not start them again. */
   finished: Record<string, number>
   delivered: number
   rejected: number
@@ -61,7 +62,7 @@
 
 /** The batch of an accepted pull. */
 export interface Batch {
-  /** Cursor that acknowledges this batch in the next pull. */
+  /** The cursor with which the next pull acknowledges this batch. */
   readonly nextCursor: number
   readonly groups: readonly { readonly group: string, readonly step: number, readonly slots: readonly Sample[] }[]
 }
@@ -71,7 +72,7 @@
   const current = state.groups[record.group]
   if (current !== undefined) {
     const same = current.digest === record.digest && current.slots.length === record.samples
-    return same ? success(undefined) : failure('groupMismatch', `group ${record.group} was submitted with other contents`)
+    return same ? success(undefined) : failure('groupMismatch', `group ${record.group} was already submitted with different contents`)
   }
   state.groups[record.group] = {
     step: record.step,
@@ -84,9 +85,9 @@
   return success(undefined)
 }
 
-/** Records samples; returns how many of them were the first of their slot. */
+/** Records samples and returns how many of them were the first in their slot. */
 export function applySamples (state: SubscriptionState, items: readonly SampleRecord[]): Result<number> {
-  let taken = 0
+  let recorded = 0
   for (const item of items) {
     const group = state.groups[item.group]
     if (group === undefined || item.index >= group.slots.length || group.slots[item.index] !== null) {
@@ -94,66 +95,66 @@
       continue
     }
     group.slots[item.index] = { segments: item.segments, score: item.score, payload: item.payload }
-    taken++
+    recorded++
     if (group.slots.every((slot) => slot !== null)) state.ready.push(item.group)
   }
-  return success(taken)
+  return success(recorded)
 }
 
-/** What a pull is judged by. */
+/** The staleness limit and the newest weight version that a pull is checked against. */
 export interface PullContext {
-  /** Versions that a sample may be behind. */
+  /** Number of weight versions that a sample may lag behind. */
   readonly staleness: number
-  /** Newest version that the fold knows for the pool. */
+  /** Newest weight version of the pool known to the fold. */
   readonly newest: number
 }
 
 /**
- * Decides a pull. The cursor of a pull acknowledges the batch before it. The same cursor and
- * version give the same batch whichever host asks; the same cursor with a newer version replaces
- * the batch, as the trainer has not taken the former one.
+ * Decides a pull. The cursor of a pull acknowledges the previous batch. The same cursor and version
+ * yield the same batch on whichever host the pull arrives. The same cursor with a newer version
+ * replaces the batch, as the trainer has not acknowledged the previous one.
  */
 export function applyPull (state: SubscriptionState, record: RecordOf<'pull'>, context: PullContext): Result<Batch> {
   const version = Math.max(record.version, context.newest)
-  const handover = state.handover
-  if (handover !== undefined && record.cursor === handover.cursor) {
-    if (handover.version === version) return success(describeBatch(state, handover))
-    state.ready.unshift(...handover.groups)
+  const pending = state.handover
+  if (pending !== undefined && record.cursor === pending.cursor) {
+    if (pending.version === version) return success(toBatch(state, pending))
+    state.ready.unshift(...pending.groups)
     delete state.handover
-  } else if (handover !== undefined && record.cursor === handover.cursor + 1) {
-    acknowledge(state, handover)
+  } else if (pending !== undefined && record.cursor === pending.cursor + 1) {
+    acknowledge(state, pending)
   } else if (record.cursor < state.acknowledged) {
-    return failure('cursorBehind', `batches before ${state.acknowledged} are acknowledged`)
+    return failure('cursorBehind', `cursor ${record.cursor} is behind: batches before ${state.acknowledged} are acknowledged`)
   } else if (record.cursor > state.acknowledged) {
-    return failure('cursorAhead', `the last batch handed over is ${state.acknowledged}`)
+    return failure('cursorAhead', `cursor ${record.cursor} is ahead: batches are acknowledged up to ${state.acknowledged}`)
   }
   const groups = takeBatch(state, record.maximum, version - context.staleness)
   if (groups.length === 0) return success({ nextCursor: record.cursor, groups: [] })
   state.handover = { cursor: record.cursor, version, maximum: record.maximum, groups }
-  return success(describeBatch(state, state.handover))
+  return success(toBatch(state, state.handover))
 }
 
-function acknowledge (state: SubscriptionState, handover: Handover): void {
-  for (const name of handover.groups) {
+function acknowledge (state: SubscriptionState, pending: PendingBatch): void {
+  for (const name of pending.groups) {
     const group = state.groups[name]
     if (group === undefined) continue
     state.delivered += group.slots.length
     state.finished[name] = group.issuedAt
     delete state.groups[name]
   }
-  state.acknowledged = handover.cursor + 1
+  state.acknowledged = pending.cursor + 1
   delete state.handover
 }
 
-/** Takes ready groups from the front; samples below `lowest` are rejected and their slots reopened. */
-function takeBatch (state: SubscriptionState, maximum: number, lowest: number): string[] {
+/** Takes ready groups from the front of the queue. Samples older than `oldestAllowed` are rejected and their slots reopened. */
+function takeBatch (state: SubscriptionState, maximum: number, oldestAllowed: number): string[] {
   const taken: string[] = []
   const waiting: string[] = []
   let samples = 0
   for (const name of state.ready) {
     const group = state.groups[name]
     if (group === undefined) continue
-    if (rejectStale(state, group, lowest)) continue
+    if (rejectStale(state, group, oldestAllowed)) continue
     const fits = taken.length === 0 || samples + group.slots.length <= maximum
     if (fits && waiting.length === 0) {
       taken.push(name)
@@ -166,10 +167,10 @@
   return taken
 }
 
-function rejectStale (state: SubscriptionState, group: Group, lowest: number): boolean {
+function rejectStale (state: SubscriptionState, group: Group, oldestAllowed: number): boolean {
   let reopened = false
   group.slots.forEach((sample, index) => {
-    if (sample === null || oldestVersion(sample.segments) >= lowest) return
+    if (sample === null || oldestVersion(sample.segments) >= oldestAllowed) return
     group.slots[index] = null
     state.rejected++
     reopened = true
@@ -177,17 +178,17 @@
   return reopened
 }
 
-function describeBatch (state: SubscriptionState, handover: Handover): Batch {
+function toBatch (state: SubscriptionState, pending: PendingBatch): Batch {
   return {
-    nextCursor: handover.cursor + 1,
-    groups: handover.groups.map((name) => {
+    nextCursor: pending.cursor + 1,
+    groups: pending.groups.map((name) => {
       const group = state.groups[name] as Group
       return { group: name, step: group.step, slots: group.slots.map((slot) => ({ ...slot as Sample })) }
     })
   }
 }
 
-/** Payloads moved to newer offsets, before the log forgets the old ones. */
+/** Updates the locations of payloads that were copied to newer offsets before the log truncates the old ones. */
 export function applyMoved (state: SubscriptionState, record: RecordOf<'moved'>): Result<void> {
   const group = state.groups[record.group]
   if (group === undefined) return success(undefined)
@@ -201,7 +202,7 @@
   return success(undefined)
 }
 
-/** Forgets finished groups that the window has passed. */
+/** Removes acknowledged groups that were issued before the given time. */
 export function pruneFinished (state: SubscriptionState, before: number): void {
   for (const [name, issuedAt] of Object.entries(state.finished)) {
     if (issuedAt < before) delete state.finished[name]
--- a/src/core/common/identity/access.ts
+++ b/src/core/common/identity/access.ts
@@ -1,39 +1,39 @@
 /**
- * Whether a request is admitted by the key that it presents. Load pattern: keys are taken away while a host is cut off from the
- * store, or suspended with requests in its sockets; it must not serve them by what it knew before. And callers come with keys that
- * are newer than what the host has read, or with wrong ones in any number: the first are looked up, the latter must not cost a
- * call to the store each.
+ * Decides whether a request is admitted by the key that it presents. Load pattern: keys are revoked while a host is partitioned
+ * from the store, or suspended with requests in its socket buffers; the host must not admit these requests based on outdated
+ * configuration. Callers also present keys that are newer than the configuration that the host has read, or any number of invalid
+ * keys. The former are looked up; the latter must not each cause a call to the store.
  *
- * The store's answers are linearizable: a read tells all that had been acknowledged when it was sent. So a key is accepted only by a
- * read that was sent no longer ago than the bound; whatever the read did not tell is newer than that.
+ * Reads from the store are linearizable: a read returns everything that was acknowledged before it was sent. Therefore a key is
+ * accepted only based on a read that was sent within the revocation bound; any change that the read did not return is more recent.
  */
 
 import type { Instant } from '../../../base/common/instant.ts'
 import { elapsedMs, isWithin } from '../../../base/common/instant.ts'
 import type { CallerIdentity, PresentedKey, WorkspaceKeys } from './workspaces.ts'
 
-export interface AccessQuestion {
+export interface AccessCheck {
   readonly key: PresentedKey
   readonly isPublic: boolean
-  /** Absent where the configuration knows no workspaces. */
+  /** Absent if the configuration defines no workspaces. */
   readonly keys: WorkspaceKeys | undefined
-  /** When the newest read of the configuration that came back was sent. */
+  /** Time at which the newest completed read of the configuration was sent. */
   readonly readAt: Instant | undefined
   readonly now: Instant
-  /** How old the knowledge of a valid key may be, in milliseconds; absent where it may be of any age. */
+  /** Maximum age of the read by which a known key is accepted, in milliseconds; absent if any age is accepted. */
   readonly revocationMs: number | undefined
 }
 
-export type Access =
+export type AccessDecision =
   | { readonly type: 'granted', readonly caller: CallerIdentity }
   | { readonly type: 'denied', readonly why: string }
-  /** What is known is too old to tell. */
+  /** The last read is too old to decide. */
   | { readonly type: 'unsure', readonly why: string }
 
-/** Age of the knowledge by which an unknown key is rejected, in milliseconds: a flood of them costs a read in this time, not each a read. */
-export const UNKNOWN_KEY_AGE_MS = 250
+/** Maximum age of the read by which an unknown key is rejected. A flood of unknown keys causes one read per this interval instead of one read per request. */
+export const MAX_UNKNOWN_KEY_READ_AGE_MS = 250
 
-export function decideAccess ({ key, isPublic, keys, readAt, now, revocationMs }: AccessQuestion): Access {
+export function decideAccess ({ key, isPublic, keys, readAt, now, revocationMs }: AccessCheck): AccessDecision {
   if (keys === undefined) return { type: 'granted', caller: { type: 'open' } }
   if (isPublic) return { type: 'granted', caller: { type: 'anonymous' } }
   switch (key.type) {
@@ -41,10 +41,10 @@
     case 'unusable': return { type: 'denied', why: key.why }
     case 'key': break
   }
-  const workspace = keys.holder(key.digest)
+  const workspace = keys.findWorkspace(key.digest)
   if (workspace === undefined) {
-    return elapsedMs(readAt, now) <= UNKNOWN_KEY_AGE_MS ? { type: 'denied', why: 'the key is not known' } : { type: 'unsure', why: 'the key may be newer than what this host knows' }
+    return elapsedMs(readAt, now) <= MAX_UNKNOWN_KEY_READ_AGE_MS ? { type: 'denied', why: 'the key is not known' } : { type: 'unsure', why: 'the key may be newer than the configuration that this host has read' }
   }
-  if (revocationMs !== undefined && !isWithin(revocationMs, readAt, now)) return { type: 'unsure', why: 'the key may have been taken away since this host heard of the configuration' }
+  if (revocationMs !== undefined && !isWithin(revocationMs, readAt, now)) return { type: 'unsure', why: 'the key may have been revoked since this host last read the configuration' }
   return { type: 'granted', caller: { type: 'workspace', name: workspace.name, priority: workspace.priority } }
 }
--- a/src/core/common/identity/workspaces.ts
+++ b/src/core/common/identity/workspaces.ts
@@ -1,30 +1,30 @@
-/** Workspaces, their keys, and who a caller is. */
+/** Workspaces, their keys, and the identity of a caller. */
 
 import type { KeyDigest, WorkspaceName } from '../../../base/common/ids.ts'
 
 export interface WorkspaceDefinition {
   readonly name: WorkspaceName
-  /** None where all were taken away. */
+  /** Digests of the valid keys; empty if all keys were revoked. */
   readonly keys: readonly KeyDigest[]
-  /** Goes before the priority of a route; absent where the route's holds. */
+  /** Overrides the priority of a route; absent if the route's priority applies. */
   readonly priority: number | undefined
 }
 
-/** What a request shows of its caller. */
+/** The key that a request presents. */
 export type PresentedKey =
   | { readonly type: 'none' }
   | { readonly type: 'key', readonly digest: KeyDigest }
   | { readonly type: 'unusable', readonly why: string }
 
-/** Who a caller is. */
+/** The identity of a caller. */
 export type CallerIdentity =
-  /** The deployment has no workspaces: what callers present is the targets' matter. */
+  /** No workspaces are configured; credentials that callers present are left to the targets. */
   | { readonly type: 'open' }
   /** The route is public. */
   | { readonly type: 'anonymous' }
   | { readonly type: 'workspace', readonly name: WorkspaceName, readonly priority: number | undefined }
 
-/** Workspaces by their keys. */
+/** Index of workspaces by the digests of their keys. */
 export class WorkspaceKeys {
   private readonly byDigest = new Map<KeyDigest, WorkspaceDefinition>()
 
@@ -34,28 +34,28 @@
     }
   }
 
-  holder (digest: KeyDigest): WorkspaceDefinition | undefined {
+  findWorkspace (digest: KeyDigest): WorkspaceDefinition | undefined {
     return this.byDigest.get(digest)
   }
 }
 
-/** Why workspaces cannot be told apart; `undefined` where they can. */
-export function findClash (workspaces: readonly WorkspaceDefinition[]): string | undefined {
+/** Describes the first conflict between workspace names or keys; returns `undefined` if there is none. */
+export function findConflict (workspaces: readonly WorkspaceDefinition[]): string | undefined {
   const names = new Set<WorkspaceName>()
-  const holders = new Map<KeyDigest, WorkspaceName>()
+  const ownerByDigest = new Map<KeyDigest, WorkspaceName>()
   for (const { name, keys } of workspaces) {
     if (names.has(name)) return `workspace ${name} is defined twice`
     names.add(name)
     for (const digest of keys) {
-      const other = holders.get(digest)
-      if (other !== undefined && other !== name) return `workspaces ${other} and ${name} have a key in common`
-      holders.set(digest, name)
+      const owner = ownerByDigest.get(digest)
+      if (owner !== undefined && owner !== name) return `workspaces ${owner} and ${name} have a key in common`
+      ownerByDigest.set(digest, name)
     }
   }
   return undefined
 }
 
-/** The name of the workspace that a caller belongs to. */
+/** Returns the name of the workspace that a caller belongs to. */
 export function workspaceOf (caller: CallerIdentity): WorkspaceName | undefined {
   return caller.type === 'workspace' ? caller.name : undefined
 }
--- a/src/core/common/language/parser.ts
+++ b/src/core/common/language/parser.ts
@@ -1,5 +1,5 @@
 /**
- * Parser of the query and command language, by chevrotain.
+ * Parser of the query and command language, built with chevrotain.
  *
  *   show targets where place = "Abdali" and weights < 41
  *   show samples of subscription drafter
@@ -17,12 +17,12 @@
 import { failure, success } from '../../../base/common/resultCode.ts'
 import type { Command, ObjectKind, PropertyValue } from '../fold/command.ts'
 import { commandSchema, objectKinds, objectSchemas } from '../fold/command.ts'
-import { messages } from './messages.ts'
+import { parserErrorMessages } from './parserErrorMessages.ts'
 import type { Comparison, Condition, ShowStatement, Statement, ViewName } from './statement.ts'
 import { viewNames } from './statement.ts'
 
-/** Characters of a statement at most. */
-export const MAXIMUM_STATEMENT_LENGTH = 4096
+/** Maximum number of characters in a statement. */
+export const MAX_STATEMENT_LENGTH = 4096
 
 const Word = createToken({ name: 'Word', pattern: /[A-Za-z_][\w.:-]*/ })
 const keyword = (name: string): TokenType => createToken({ name: name.toUpperCase(), pattern: new RegExp(name), longer_alt: Word })
@@ -48,10 +48,10 @@
 const tokens = [WhiteSpace, ...keywords, Duration, NumberLiteral, StringLiteral, Operator, Word]
 const lexer = new Lexer(tokens, { positionTracking: 'full' })
 
-const unitMs = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 } as const
+const millisecondsPerUnit = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 } as const
 
-/** A fault found after the grammar matched, at a token. */
-class StatementFault extends Error {
+/** A semantic error at a token, detected after the grammar matched. */
+class StatementError extends Error {
   constructor (message: string, readonly token: IToken) {
     super(message)
   }
@@ -59,7 +59,7 @@
 
 class StatementParser extends EmbeddedActionsParser {
   constructor () {
-    super(tokens, { errorMessageProvider: messages })
+    super(tokens, { errorMessageProvider: parserErrorMessages })
     this.performSelfAnalysis()
   }
 
@@ -85,7 +85,7 @@
       const kind = this.CONSUME2(Word)
       subscription = this.SUBRULE(this.name)
       this.ACTION(() => {
-        if (kind.image !== 'subscription') throw new StatementFault('expected: subscription', kind)
+        if (kind.image !== 'subscription') throw new StatementError('expected: subscription', kind)
       })
     })
     const conditions: Condition[] = []
@@ -100,8 +100,8 @@
       sinceMs = this.ACTION(() => parseDuration(duration.image))
     })
     return this.ACTION(() => {
-      if (!(viewNames as readonly string[]).includes(view.image)) throw new StatementFault(`expected one of: ${viewNames.join(', ')}`, view)
-      if (view.image === 'samples' && subscription === undefined) throw new StatementFault('expected: samples of subscription NAME', view)
+      if (!(viewNames as readonly string[]).includes(view.image)) throw new StatementError(`expected one of: ${viewNames.join(', ')}`, view)
+      if (view.image === 'samples' && subscription === undefined) throw new StatementError('expected: samples of subscription NAME', view)
       return {
         type: 'show' as const,
         view: view.image as ViewName,
@@ -153,7 +153,7 @@
     const target = this.SUBRULE(this.name)
     const condition = this.SUBRULE(this.ifRevision)
     this.ACTION(() => {
-      if (kind.image !== 'target') throw new StatementFault('expected: target', kind)
+      if (kind.image !== 'target') throw new StatementError('expected: target', kind)
     })
     return { type: 'command', command: { verb, target, ...condition } }
   })
@@ -167,8 +167,8 @@
     const pool = this.SUBRULE(this.name)
     const condition = this.SUBRULE(this.ifRevision)
     this.ACTION(() => {
-      if (what.image !== 'weights') throw new StatementFault('expected: weights', what)
-      if (kind.image !== 'pool') throw new StatementFault('expected: pool', kind)
+      if (what.image !== 'weights') throw new StatementError('expected: weights', what)
+      if (kind.image !== 'pool') throw new StatementError('expected: pool', kind)
     })
     return { type: 'command', command: { verb: 'load', pool, version: Number(version.image), ...condition } }
   })
@@ -176,7 +176,7 @@
   private readonly kind = this.RULE('kind', (): ObjectKind => {
     const word = this.CONSUME(Word)
     return this.ACTION(() => {
-      if (!(objectKinds as string[]).includes(word.image)) throw new StatementFault(`expected one of: ${objectKinds.join(', ')}`, word)
+      if (!(objectKinds as string[]).includes(word.image)) throw new StatementError(`expected one of: ${objectKinds.join(', ')}`, word)
       return word.image as ObjectKind
     })
   })
@@ -192,9 +192,9 @@
       const key = this.CONSUME(Word)
       const value = this.SUBRULE(this.value)
       this.ACTION(() => {
-        const known = Object.keys(objectSchemas[kind].shape)
-        if (!known.includes(key.image)) throw new StatementFault(`a ${kind} has: ${known.join(', ')}`, key)
-        if (Object.hasOwn(properties, key.image)) throw new StatementFault(`${key.image} is given twice`, key)
+        const knownProperties = Object.keys(objectSchemas[kind].shape)
+        if (!knownProperties.includes(key.image)) throw new StatementError(`unknown property ${key.image}; a ${kind} has: ${knownProperties.join(', ')}`, key)
+        if (Object.hasOwn(properties, key.image)) throw new StatementError(`duplicate property ${key.image}`, key)
         properties[key.image] = value
       })
     })
@@ -216,8 +216,8 @@
       const operator = this.CONSUME(Operator)
       revision = Number(this.CONSUME(NumberLiteral).image)
       this.ACTION(() => {
-        if (word.image !== 'revision') throw new StatementFault('expected: revision', word)
-        if (operator.image !== '=') throw new StatementFault('expected: =', operator)
+        if (word.image !== 'revision') throw new StatementError('expected: revision', word)
+        if (operator.image !== '=') throw new StatementError('expected: =', operator)
       })
     })
     return revision === undefined ? {} : { ifRevision: revision }
@@ -226,33 +226,33 @@
 
 function parseDuration (image: string): number {
   const match = /^([\d.]+)(ms|s|m|h)$/.exec(image)
-  return Math.round(Number(match?.[1]) * unitMs[match?.[2] as keyof typeof unitMs])
+  return Math.round(Number(match?.[1]) * millisecondsPerUnit[match?.[2] as keyof typeof millisecondsPerUnit])
 }
 
 function unquote (token: IToken): string {
   try {
     return JSON.parse(token.image) as string
   } catch {
-    throw new StatementFault('a string is written as in JSON', token)
+    throw new StatementError('invalid string: use the syntax of JSON strings', token)
   }
 }
 
 const parser = new StatementParser()
 
-/** Parses one statement; a fault names its column, counted from 1. */
+/** Parses one statement. An error names its column, counted from 1. */
 export function parseStatement (text: string): Result<Statement> {
-  if (text.length > MAXIMUM_STATEMENT_LENGTH) return failure('tooLarge', `a statement has at most ${MAXIMUM_STATEMENT_LENGTH} characters`)
-  const lexed = lexer.tokenize(text)
-  const lexingError = lexed.errors[0]
+  if (text.length > MAX_STATEMENT_LENGTH) return failure('tooLarge', `statement too long: got ${text.length} characters, at most ${MAX_STATEMENT_LENGTH} are allowed`)
+  const lexingResult = lexer.tokenize(text)
+  const lexingError = lexingResult.errors[0]
   if (lexingError !== undefined) return failure('syntax', `unexpected character ${JSON.stringify(text[lexingError.offset])}`, { column: lexingError.offset + 1 })
-  parser.input = lexed.tokens
+  parser.input = lexingResult.tokens
   try {
     const statement = parser.statement()
     const error = parser.errors[0]
     if (error !== undefined) return failure('syntax', error.message, { column: columnOf(error.token, text) })
-    return checkCommand(statement)
+    return validateCommand(statement)
   } catch (error) {
-    if (!(error instanceof StatementFault)) throw error
+    if (!(error instanceof StatementError)) throw error
     return failure('syntax', error.message, { column: columnOf(error.token, text) })
   }
 }
@@ -261,9 +261,9 @@
   return Number.isNaN(token.startOffset) ? text.length + 1 : token.startOffset + 1
 }
 
-function checkCommand (statement: Statement): Result<Statement> {
+function validateCommand (statement: Statement): Result<Statement> {
   if (statement.type === 'show') return success(statement)
-  const checked = commandSchema.safeParse(statement.command)
-  if (!checked.success) return failure('malformed', checked.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`).join('; '))
-  return success({ type: 'command', command: checked.data as Command })
+  const parsed = commandSchema.safeParse(statement.command)
+  if (!parsed.success) return failure('malformed', parsed.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`).join('; '))
+  return success({ type: 'command', command: parsed.data as Command })
 }
--- a/src/core/common/language/rows.ts
+++ b/src/core/common/language/rows.ts
@@ -1,29 +1,29 @@
 /**
- * Filtering of the rows that a `show` gives.
+ * Filtering of the rows that a `show` statement returns.
  */
 
 import { unreachable } from '../../../base/common/exhaustive.ts'
 import type { PropertyValue } from '../fold/command.ts'
 import type { Condition } from './statement.ts'
 
-/** One row of an answer. */
+/** A row of a query result. */
 export type Row = Record<string, PropertyValue | null>
 
-/** Keeps the rows that meet all conditions; a row without the field meets only `!=`. */
+/** Returns the rows that match all conditions. A row without the field matches only `!=`. */
 export function filterRows (rows: readonly Row[], conditions: readonly Condition[]): Row[] {
-  return rows.filter((row) => conditions.every((condition) => meets(row, condition)))
+  return rows.filter((row) => conditions.every((condition) => matches(row, condition)))
 }
 
-function meets (row: Row, { field, comparison, value }: Condition): boolean {
-  const found = Object.hasOwn(row, field) ? row[field] : null
-  if (found === null || found === undefined) return comparison === '!='
+function matches (row: Row, { field, comparison, value }: Condition): boolean {
+  const fieldValue = Object.hasOwn(row, field) ? row[field] : null
+  if (fieldValue === null || fieldValue === undefined) return comparison === '!='
   switch (comparison) {
-    case '=': return found === value
-    case '!=': return found !== value
-    case '<': return found < value
-    case '<=': return found <= value
-    case '>': return found > value
-    case '>=': return found >= value
+    case '=': return fieldValue === value
+    case '!=': return fieldValue !== value
+    case '<': return fieldValue < value
+    case '<=': return fieldValue <= value
+    case '>': return fieldValue > value
+    case '>=': return fieldValue >= value
     default: return unreachable(comparison)
   }
 }
--- a/src/core/common/language/statement.ts
+++ b/src/core/common/language/statement.ts
@@ -1,35 +1,35 @@
 /**
- * Statements of the query and command language, as the parser gives them.
+ * Statements of the query and command language, as returned by the parser.
  */
 
 import type { Command, PropertyValue } from '../fold/command.ts'
 
-/** What `show` can list. */
+/** Views that `show` can list. */
 export const viewNames = ['pools', 'targets', 'lanes', 'subscriptions', 'hosts', 'leases', 'samples', 'audit', 'status'] as const
 export type ViewName = (typeof viewNames)[number]
 
 export const comparisons = ['=', '!=', '<', '<=', '>', '>='] as const
 export type Comparison = (typeof comparisons)[number]
 
-/** One condition of a `where`. */
+/** A condition of a `where` clause. */
 export interface Condition {
   readonly field: string
   readonly comparison: Comparison
   readonly value: PropertyValue
 }
 
-/** A question. */
+/** A query. */
 export interface ShowStatement {
   readonly type: 'show'
   readonly view: ViewName
-  /** Subscription that `show samples of subscription NAME` asks for. */
+  /** The subscription named in `show samples of subscription NAME`. */
   readonly subscription?: string
   readonly conditions: readonly Condition[]
-  /** Only what happened in the last so many milliseconds. */
+  /** Restricts the result to events within this many milliseconds before now. */
   readonly sinceMs?: number
 }
 
-/** An order. */
+/** A command that changes the configuration. */
 export interface CommandStatement {
   readonly type: 'command'
   readonly command: Command
--- a/src/core/common/routes/answerVerdict.ts
+++ b/src/core/common/routes/answerVerdict.ts
@@ -1,28 +1,28 @@
 /**
- * What a target's answer means for the request that was sent, and whether another target may be
- * tried. A bad answer must never be passed on as a good one, and a request that may have run must
- * not run again unless it may be repeated.
+ * Classifies a target's answer to a request and determines whether another target may be tried. A
+ * bad answer must never be passed on as a good one, and a request that may have run must not run
+ * again unless it may be repeated.
  */
 
 import type { TargetAnswerHead } from '../../../ports/common/protocols.ts'
 
 export type AnswerVerdict =
-  /** The target's answer to this request, good or bad. */
+  /** The target's answer to this request, whether it reports success or failure. */
   | 'answer'
-  /** The target's own failure; another target may do better. */
+  /** The target itself failed; another target may succeed. */
   | 'target-failed'
-  /** The target says that it ran nothing. */
+  /** The target states that it did not run the request. */
   | 'not-run'
-  /** Not this request's answer, or not the target's: it may have run. */
+  /** The answer belongs to another request or does not come from the target, so the request may have run. */
   | 'unusable'
 
-const SERVER_ERROR = 500
+const MIN_SERVER_ERROR_STATUS = 500
 
-/** Judges the head of an answer to the request with this id. */
-export function judgeAnswer (head: TargetAnswerHead, requestId: string | undefined): AnswerVerdict {
-  const foreign = head.requestId !== undefined && head.requestId !== requestId
-  if (foreign) return 'unusable'
+/** Classifies an answer to the request with this id by its head. */
+export function classifyAnswer (head: TargetAnswerHead, requestId: string | undefined): AnswerVerdict {
+  const isForeign = head.requestId !== undefined && head.requestId !== requestId
+  if (isForeign) return 'unusable'
   if (head.notRun) return 'not-run'
   if (head.seal === undefined) return 'unusable'
-  return head.status >= SERVER_ERROR ? 'target-failed' : 'answer'
+  return head.status >= MIN_SERVER_ERROR_STATUS ? 'target-failed' : 'answer'
 }
--- a/src/core/common/routes/incarnation.ts
+++ b/src/core/common/routes/incarnation.ts
@@ -1,53 +1,55 @@
 /**
- * What it means that a target tells of another life than the one that is known. The one place where
- * incarnations are compared: entries arrive late, repeated or from other writers, reports are some
- * hundred milliseconds old, and nothing of an earlier life may pass for the present one.
+ * Comparison of target incarnations; a target that restarts gets a new incarnation. This is the only
+ * place where incarnations are compared. Entries arrive late, repeatedly or from other writers, and
+ * reports are some hundred milliseconds old, so data of an earlier incarnation must never be
+ * attributed to the current one.
  */
 
 import type { Incarnation } from '../../../base/common/ids.ts'
 
 /**
- * `same`: the known life. `newer`: the target has started again, so nothing learned of it holds.
- * `older`: it says nothing about the present life. `untold`: no life is named where targets name theirs.
+ * The order of a reported incarnation relative to the known one.
+ * `same`: it is the known incarnation. `newer`: the target has restarted, so nothing known about it applies any longer.
+ * `older`: the report does not concern the current incarnation. `untold`: no incarnation is given although targets here report theirs.
  */
-export type LifeVerdict = 'same' | 'newer' | 'older' | 'untold'
+export type IncarnationOrder = 'same' | 'newer' | 'older' | 'untold'
 
-/** Compares what is told with what is known; where neither names a life, an id has one life. */
-export function judgeLife (known: Incarnation | undefined, told: Incarnation | undefined): LifeVerdict {
-  if (told === undefined) return known === undefined ? 'same' : 'untold'
-  if (known === undefined || told > known) return 'newer'
-  return told === known ? 'same' : 'older'
+/** Compares a reported incarnation with the known one. If neither is given, an id has a single incarnation. */
+export function compareIncarnations (known: Incarnation | undefined, reported: Incarnation | undefined): IncarnationOrder {
+  if (reported === undefined) return known === undefined ? 'same' : 'untold'
+  if (known === undefined || reported > known) return 'newer'
+  return reported === known ? 'same' : 'older'
 }
 
-/** Ids whose newest life is remembered: far more than a deployment has at once, so that only ids of long ago are forgotten. */
-const REMEMBERED_IDS = 10_000
+/** Maximum number of tracked ids. It is far above the number of concurrent targets, so only ids unused for a long time are evicted. */
+const MAX_TRACKED_IDS = 10_000
 
 /**
- * The newest life of each id by its entries, also after the entry is gone: an entry that is written
- * late would else bring an earlier life back. Once any entry names a life, one that names none is
- * from another writer.
+ * Tracks the newest incarnation of each id, even after its entry is removed, as an entry that is
+ * written late would otherwise restore an earlier incarnation. Once any entry gives an incarnation,
+ * an entry without one comes from another writer.
  */
-export class LifeRecord {
+export class IncarnationTracker {
   private readonly newest = new Map<string, Incarnation>()
-  private told = false
+  private anyReported = false
 
-  /** Whether entries name lives here. */
-  get areTold (): boolean {
-    return this.told
+  /** Whether any entry has reported an incarnation. */
+  get areReported (): boolean {
+    return this.anyReported
   }
 
-  judge (id: string, told: Incarnation | undefined): LifeVerdict {
-    if (told === undefined) return this.told ? 'untold' : 'same'
-    this.told = true
-    const verdict = judgeLife(this.newest.get(id), told)
-    if (verdict === 'newer') this.remember(id, told)
-    return verdict
+  observe (id: string, reported: Incarnation | undefined): IncarnationOrder {
+    if (reported === undefined) return this.anyReported ? 'untold' : 'same'
+    this.anyReported = true
+    const order = compareIncarnations(this.newest.get(id), reported)
+    if (order === 'newer') this.track(id, reported)
+    return order
   }
 
-  private remember (id: string, incarnation: Incarnation): void {
+  private track (id: string, incarnation: Incarnation): void {
     this.newest.delete(id)
     this.newest.set(id, incarnation)
     const [oldest] = this.newest.keys()
-    if (this.newest.size > REMEMBERED_IDS && oldest !== undefined) this.newest.delete(oldest)
+    if (this.newest.size > MAX_TRACKED_IDS && oldest !== undefined) this.newest.delete(oldest)
   }
 }
--- a/src/core/common/routes/routeConfiguration.ts
+++ b/src/core/common/routes/routeConfiguration.ts
@@ -1,17 +1,17 @@
 /**
- * Routes: which service answers a request, by its host and the longest prefix of its path, and
- * within which limits. A configuration is replaced as a whole and never by an older one.
+ * Routes map a request to a service by its host and the longest matching path prefix, and set the
+ * limits that apply. A configuration is always replaced as a whole and never by an older one.
  */
 
 import type { WorkspaceDefinition } from '../identity/workspaces.ts'
 import { WorkspaceKeys } from '../identity/workspaces.ts'
 
-/** What may be done with a request twice. */
+/** How requests of a route may be repeated. */
 export type RouteKind = 'idempotent' | 'once-only' | 'streaming' | 'steps'
 
 export interface Destination {
   readonly service: string
-  /** Share of the requests, in relation to the other destinations. */
+  /** Share of the requests relative to the other destinations. */
   readonly weight: number
 }
 
@@ -22,23 +22,23 @@
   readonly pathPrefix: string
   readonly kind: RouteKind
   readonly destinations: readonly Destination[]
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Maximum time that a caller waits for an answer, in milliseconds. */
   readonly timeoutMs: number
-  /** Time within which an answer is worth the most, in milliseconds. */
+  /** Latency objective for an answer, in milliseconds. */
   readonly objectiveMs: number
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Targets to which one request may be sent, at most. */
+  /** Maximum number of targets to which a request may be sent. */
   readonly attempts: number
-  /** Whether a broken stream may go on at another target. */
+  /** Whether an interrupted stream may be resumed at another target. */
   readonly resumable: boolean
-  /** Whether callers need no key. */
+  /** Whether the route accepts callers without a key. */
   readonly isPublic: boolean
-  /** Steps: time from the submission to the last wanted result, in milliseconds. */
+  /** For steps: time from submission to the last required result, in milliseconds. */
   readonly dueMs: number
-  /** Steps: time after which an item may be given up, in milliseconds. */
+  /** For steps: time after which an item may be abandoned, in milliseconds. */
   readonly retentionMs: number
-  /** Steps: whether one version of the weights must have made a whole sample. */
+  /** For steps: whether a single version of the weights must produce a complete sample. */
   readonly singleVersion: boolean
 }
 
@@ -54,7 +54,7 @@
   readonly engine: EngineDefinition | undefined
 }
 
-/** What callers may send. */
+/** Limits on the requests that callers may send. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
@@ -67,15 +67,15 @@
   readonly routes: readonly Route[]
   readonly services: readonly ServiceDefinition[]
   readonly limits: CallerLimits
-  /** Absent where callers need no keys. */
+  /** Absent if callers do not need keys. */
   readonly workspaces?: readonly WorkspaceDefinition[] | undefined
 }
 
-/** A configuration made ready for look-ups. */
+/** Indexes a configuration for look-ups. */
 export class RouteTable {
   private readonly byHost = new Map<string, Route[]>()
   private readonly services = new Map<string, ServiceDefinition>()
-  /** Whose keys are valid; absent where callers need none. */
+  /** The valid keys and their workspaces; absent if callers do not need keys. */
   readonly keys: WorkspaceKeys | undefined
 
   constructor (readonly configuration: RouteConfiguration) {
@@ -93,8 +93,8 @@
     return this.configuration.version
   }
 
-  /** The route with the longest prefix of a path, among those of a host; a port after the host does not count. */
-  find (host: string, path: string): Route | undefined {
+  /** Returns the route of a host with the longest matching path prefix. A port in `host` is ignored. */
+  findRoute (host: string, path: string): Route | undefined {
     const name = host.replace(/:\d+$/, '').toLowerCase()
     return this.byHost.get(name)?.find((route) => path.startsWith(route.pathPrefix))
   }
@@ -103,19 +103,19 @@
     return this.services.get(name)
   }
 
-  /** Services whose targets are model engines. */
+  /** Returns the services whose targets are model engines. */
   engineServices (): ServiceDefinition[] {
     return this.configuration.services.filter((service) => service.engine !== undefined)
   }
 }
 
-/** Picks a destination by weight; `chance` is a number from 0 up to but without 1. */
-export function pickDestination (destinations: readonly Destination[], chance: number): string | undefined {
+/** Picks a destination by weight. `random` is a number in the range [0, 1). */
+export function pickDestination (destinations: readonly Destination[], random: number): string | undefined {
   const total = destinations.reduce((sum, { weight }) => sum + weight, 0)
-  let rest = chance * total
+  let remaining = random * total
   for (const { service, weight } of destinations) {
-    rest -= weight
-    if (rest < 0) return service
+    remaining -= weight
+    if (remaining < 0) return service
   }
   return destinations.find(({ weight }) => weight > 0)?.service
 }
--- a/src/core/common/routes/target.ts
+++ b/src/core/common/routes/target.ts
@@ -1,4 +1,4 @@
-/** A target as it registered itself, and what it tells of its load. */
+/** The registration of a target, and its load reports. */
 
 import type { Incarnation } from '../../../base/common/ids.ts'
 
@@ -9,22 +9,22 @@
 }
 
 export interface TargetDefinition {
-  /** A target may start again under its id. */
+  /** A target may restart under the same id. */
   readonly id: string
-  /** Which life of the target this is about; absent where targets do not tell, and each id then has one life. */
+  /** Incarnation of the target; absent if targets do not report it, in which case an id has a single incarnation. */
   readonly incarnation: Incarnation | undefined
   readonly service: string
-  /** `IP:PORT`; after the target's end another one may get it. */
+  /** `IP:PORT`; another target may reuse the address after this one ends. */
   readonly address: string
   readonly place: string
   readonly slots: number
   readonly draining: boolean
-  /** How much longer the target stays slow after its start, in milliseconds. */
+  /** Remaining warm-up time, during which the target answers slowly, in milliseconds. */
   readonly coldMs: number
   readonly models: readonly ModelVersion[]
 }
 
-/** Load in a target's own words, at the time of an answer. */
+/** Load reported by a target along with an answer. */
 export interface LoadReport {
   readonly running: number
   readonly waiting: number
--- a/src/core/common/routing/rendezvous.ts
+++ b/src/core/common/routing/rendezvous.ts
@@ -1,27 +1,28 @@
 /**
- * Rendezvous hashing: which host is the home of a key. When a host comes or goes only the keys that
- * it holds move, and every host works the same answer out from the members that it knows.
+ * Rendezvous hashing, which determines the host that is the home of a key. When a host joins or
+ * leaves, only the keys that it holds move, and every host computes the same result from the members
+ * that it knows.
  *
- * Two hosts that know different members may name different homes for a moment. That may cost speed
- * and must never cost more: what has to be decided once is decided by the fold.
+ * Two hosts with different member lists may temporarily select different homes. This may reduce
+ * performance but must not affect correctness: whatever has to be decided once is decided by the fold.
  */
 
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { HostId, Place } from '../../../base/common/ids.ts'
 
-/** A host that may be chosen. */
-export interface Candidate {
+/** A host that may be selected. */
+export interface HostCandidate {
   readonly host: HostId
   readonly place: Place
 }
 
-/** The home of a key: hosts of the preferred place go first, as long as there is one. */
-export function homeOf<T extends Candidate> (hash: Hash, key: string, candidates: readonly T[], preferred?: Place): T | undefined {
-  const near = preferred === undefined ? [] : candidates.filter((candidate) => candidate.place === preferred)
-  return highest(hash, key, near.length > 0 ? near : candidates)
+/** Returns the home of a key. Only hosts in the preferred failure domain are considered if there are any. */
+export function findHome<T extends HostCandidate> (hash: Hash, key: string, candidates: readonly T[], preferred?: Place): T | undefined {
+  const preferredCandidates = preferred === undefined ? [] : candidates.filter((candidate) => candidate.place === preferred)
+  return highestWeight(hash, key, preferredCandidates.length > 0 ? preferredCandidates : candidates)
 }
 
-function highest<T extends Candidate> (hash: Hash, key: string, candidates: readonly T[]): T | undefined {
+function highestWeight<T extends HostCandidate> (hash: Hash, key: string, candidates: readonly T[]): T | undefined {
   let best: T | undefined
   let bestWeight = -1
   for (const candidate of candidates) {
--- a/src/core/common/routing/shardAdmission.ts
+++ b/src/core/common/routing/shardAdmission.ts
@@ -1,13 +1,14 @@
 /**
- * Admission to the targets of one shard (the part of a pool that lies in one place). The home of
- * the shard alone grants slots, so it counts exactly, however late the targets' own load reports
- * are. A grant is a slot of a named target for one request; whoever holds it talks to the target
- * directly, so that tokens take no extra hop.
+ * Admission control for the targets of one shard, which is the part of a pool in one failure domain.
+ * Only the home of the shard grants slots, so its count is exact, however old the targets' own load
+ * reports are. A grant is a slot of a named target for one request. Its holder connects to the target
+ * directly, so tokens take no extra hop.
  *
- * Interactive requests go before rollouts; rollouts fill what is left, in weighted fair shares
- * between subscriptions, and give a slot back when an interactive request finds none free.
+ * Interactive requests take precedence over rollouts. Rollouts use the remaining slots by weighted
+ * fair sharing between subscriptions, and are asked to release a slot when an interactive request
+ * finds none free.
  *
- * Decisions are returned, not carried out: the actor that owns this object sends them.
+ * Decisions are returned rather than carried out; the actor that owns this object sends them.
  */
 
 import type { HostId, TargetName } from '../../../base/common/ids.ts'
@@ -15,69 +16,69 @@
 import { failure } from '../../../base/common/resultCode.ts'
 import type { AcquireRequest, AdmissionDecision, Grant, ShardTarget, WorkClass } from './admissionMessages.ts'
 
-interface Waiting {
+interface QueuedRequest {
   readonly request: AcquireRequest
   readonly since: number
 }
 
-interface Held extends Grant {
+interface HeldGrant extends Grant {
   since: number
-  renewed: number
-  /** When the slot was asked back; absent where it was not. */
+  renewedAt: number
+  /** Time of the last revocation; absent if the grant was not revoked. */
   revokedAt?: number
 }
 
-interface Usage {
+interface TargetUsage {
   readonly target: ShardTarget
   running: number
 }
 
-/** Most a target may be above the mean load and still be chosen for its cached prefix. */
-const AFFINITY_LOAD_BOUND = 1.25
-const PREFIXES_REMEMBERED = 4096
-const HOLD_TIME_WEIGHT = 0.1
+/** Maximum ratio of a target's load to the mean load at which it is still chosen for its cached prefix. */
+const MAX_AFFINITY_LOAD_RATIO = 1.25
+const MAX_TRACKED_PREFIXES = 4096
+const HOLD_TIME_SMOOTHING = 0.1
 const INITIAL_HOLD_MS = 200
-/** Time left for the answer, over the mean time that answers take. */
-const ANSWER_MARGIN = 1.25
-/** Share of a request's time that is kept for the answer at most: short deadlines may still queue. */
-const LARGEST_ANSWER_SHARE = 0.8
-/** A slot asked back and not given back by then is asked back again, in milliseconds. */
-const REVOKE_AGAIN_MS = 150
-/** A grant that its holder has not renewed for so long is taken back, in milliseconds. */
+/** Time reserved for the answer, as a multiple of the mean answer time. */
+const ANSWER_TIME_MARGIN = 1.25
+/** Maximum share of a request's time that is reserved for the answer, so that requests with short deadlines may still queue. */
+const MAX_ANSWER_TIME_SHARE = 0.8
+/** Interval after which a revoked grant that was not released is revoked again. */
+const REVOKE_RETRY_INTERVAL_MS = 150
+/** Time after which a grant that its holder has not renewed expires. */
 export const GRANT_EXPIRY_MS = 15_000
 
 export class ShardAdmission {
-  private usages = new Map<TargetName, Usage>()
-  private readonly waiting: Waiting[] = []
-  private readonly held = new Map<string, Held>()
-  private readonly prefixes = new Map<string, TargetName>()
-  /** Interactive requests held or waiting, by caller. */
+  private usageByTarget = new Map<TargetName, TargetUsage>()
+  private readonly waiting: QueuedRequest[] = []
+  private readonly held = new Map<string, HeldGrant>()
+  private readonly targetByPrefix = new Map<string, TargetName>()
+  /** Number of interactive requests that hold or wait for a grant, by caller. */
   private readonly callers = new Map<string, number>()
   private interactiveHeld = 0
   private slots = 0
-  private readonly virtualTime = new Map<string, number>()
+  private readonly virtualTimeByFlow = new Map<string, number>()
   private meanHoldMs: Record<WorkClass, number> = { interactive: INITIAL_HOLD_MS, rollout: INITIAL_HOLD_MS }
 
-  /** Requests that hold or wait for a slot, over the slots there are. */
+  /** Ratio of requests that hold or wait for a slot to available slots. */
   get pressure (): number {
     return this.slots === 0 ? Number.POSITIVE_INFINITY : (this.held.size + this.waiting.length) / this.slots
   }
 
-  get queued (): number {
+  get queueLength (): number {
     return this.waiting.length
   }
 
-  get running (): number {
+  get runningCount (): number {
     return this.held.size
   }
 
   runningOn (target: TargetName): number {
-    return this.usages.get(target)?.running ?? 0
+    return this.usageByTarget.get(target)?.running ?? 0
   }
 
-  /** Replaces the list of targets; grants on targets that are gone stay until released. */
+  /** Replaces the list of targets. Grants on removed targets remain until they are released or expire. */
   setTargets (targets: readonly ShardTarget[], now: number): AdmissionDecision[] {
-    const next = new Map<TargetName, Usage>()
+    const next = new Map<TargetName, TargetUsage>()
     this.slots = 0
     for (const target of targets) {
       next.set(target.name, { target, running: 0 })
@@ -87,82 +88,83 @@
       const usage = next.get(grant.target)
       if (usage !== undefined) usage.running++
     }
-    this.usages = next
-    return this.serve(now)
+    this.usageByTarget = next
+    return this.serveQueue(now)
   }
 
-  /** Asks for a slot; what is decided at once is in the result, the rest follows later. */
+  /** Requests a slot. The result contains the immediate decisions; the request may also be granted or refused later. */
   acquire (request: AcquireRequest, now: number): AdmissionDecision[] {
     if (this.held.has(request.grant) || this.waiting.some((waiting) => waiting.request.grant === request.grant)) return []
-    const refused = this.refusal(request)
-    if (refused !== undefined) return [refuse(request, refused)]
+    const refusal = this.checkAcquire(request)
+    if (refusal !== undefined) return [createRefusal(request, refusal)]
     this.waiting.push({ request, since: now })
     this.countCaller(request, 1)
-    return this.serve(now)
+    return this.serveQueue(now)
   }
 
-  /** Gives a slot back, or a place in the queue. */
+  /** Releases a granted slot, or removes a waiting request from the queue. */
   release (grant: string, now: number): AdmissionDecision[] {
     const held = this.held.get(grant)
     if (held === undefined) {
       const index = this.waiting.findIndex((waiting) => waiting.request.grant === grant)
-      if (index >= 0) this.dropWaiting((_waiting, position) => position === index)
+      if (index >= 0) this.removeWaiting((_waiting, position) => position === index)
       return []
     }
-    this.forget(held)
-    this.meanHoldMs[held.workClass] += HOLD_TIME_WEIGHT * (now - held.since - this.meanHoldMs[held.workClass])
-    return this.serve(now)
+    this.removeGrant(held)
+    this.meanHoldMs[held.workClass] += HOLD_TIME_SMOOTHING * (now - held.since - this.meanHoldMs[held.workClass])
+    return this.serveQueue(now)
   }
 
   /**
-   * Takes note of grants in use. A new home knows nothing of what the former one granted; it would
-   * give the same slots out again. The holders' renewals tell it.
+   * Renews grants in use and adds unknown ones. A new home does not know the grants of the previous
+   * home and would grant the same slots again, so it learns them from the renewals of their holders.
    */
   renew (grants: readonly Grant[], now: number): void {
     for (const grant of grants) {
       const held = this.held.get(grant.grant)
       if (held !== undefined) {
-        held.renewed = now
+        held.renewedAt = now
         continue
       }
-      this.hold({ ...grant, since: now, renewed: now })
+      this.addGrant({ ...grant, since: now, renewedAt: now })
     }
   }
 
-  /** Takes back what a dead host held and drops what it waited for. */
-  dropHolder (holder: HostId, now: number): AdmissionDecision[] {
+  /** Removes the grants and the waiting requests of a dead host. */
+  removeHolder (holder: HostId, now: number): AdmissionDecision[] {
     for (const held of [...this.held.values()]) {
-      if (held.holder === holder) this.forget(held)
+      if (held.holder === holder) this.removeGrant(held)
     }
-    this.dropWaiting((waiting) => waiting.request.holder === holder)
-    return this.serve(now)
+    this.removeWaiting((waiting) => waiting.request.holder === holder)
+    return this.serveQueue(now)
   }
 
-  /** Refuses what waited too long and takes back grants that were not renewed. */
+  /** Refuses requests that have waited too long, and removes grants that were not renewed. */
   expire (now: number): AdmissionDecision[] {
-    const decisions = this.refuseLate(now)
+    const decisions = this.refuseOverdue(now)
     for (const held of [...this.held.values()]) {
-      if (now - held.renewed >= GRANT_EXPIRY_MS) this.forget(held)
+      if (now - held.renewedAt >= GRANT_EXPIRY_MS) this.removeGrant(held)
     }
-    return [...decisions, ...this.serve(now)]
+    return [...decisions, ...this.serveQueue(now)]
   }
 
   /**
-   * A request that gets its slot just before its deadline takes the slot from one that could still
-   * be answered, and is answered too late itself. So time for the answer is left.
+   * Returns the longest wait after which a request can still be answered in time. A request that gets
+   * a slot just before its deadline takes it from a request that could still be answered, and is
+   * itself answered too late. Therefore time is reserved for the answer.
    */
-  private longestUsefulWaitMs ({ workClass, maximumWaitMs }: AcquireRequest): number {
+  private maxUsefulWaitMs ({ workClass, maximumWaitMs }: AcquireRequest): number {
     if (workClass === 'rollout') return maximumWaitMs
-    const answer = Math.min(this.meanHoldMs.interactive * ANSWER_MARGIN, maximumWaitMs * LARGEST_ANSWER_SHARE)
-    return maximumWaitMs - answer
+    const answerTimeMs = Math.min(this.meanHoldMs.interactive * ANSWER_TIME_MARGIN, maximumWaitMs * MAX_ANSWER_TIME_SHARE)
+    return maximumWaitMs - answerTimeMs
   }
 
-  private refuseLate (now: number): AdmissionDecision[] {
-    const late = this.dropWaiting(({ request, since }) => now - since > this.longestUsefulWaitMs(request))
-    return late.map(({ request }) => refuse(request, failure('overloaded', 'no slot came free in time', { retryAfterMs: this.expectedWaitMs(request) })))
+  private refuseOverdue (now: number): AdmissionDecision[] {
+    const overdue = this.removeWaiting(({ request, since }) => now - since > this.maxUsefulWaitMs(request))
+    return overdue.map(({ request }) => createRefusal(request, failure('overloaded', 'no slot became free in time', { retryAfterMs: this.expectedWaitMs(request) })))
   }
 
-  /** How long a request that came now would wait, in milliseconds. */
+  /** Returns how long a request that arrives now would wait, in milliseconds. */
   expectedWaitMs (request: Pick<AcquireRequest, 'workClass' | 'priority'>): number {
     const { slots } = this
     if (slots === 0) return 1000
@@ -172,24 +174,24 @@
     return excess <= 0 ? 0 : (excess / slots) * this.meanHoldMs[request.workClass]
   }
 
-  private refusal (request: AcquireRequest): Failure | undefined {
-    const usable = [...this.usages.values()].some(({ target }) => mayServe(target, request))
-    if (!usable) return failure('noTarget', 'no target of this shard takes work', { retryAfterMs: 1000 })
-    if (request.maximumWaitMs === 0 && !this.freeNow(request)) return failure('overloaded', 'no slot is free now', { retryAfterMs: this.expectedWaitMs(request) })
+  private checkAcquire (request: AcquireRequest): Failure | undefined {
+    const usable = [...this.usageByTarget.values()].some(({ target }) => canServe(target, request))
+    if (!usable) return failure('noTarget', 'no target of this shard accepts this request', { retryAfterMs: 1000 })
+    if (request.maximumWaitMs === 0 && !this.canStartNow(request)) return failure('overloaded', 'no slot is free now', { retryAfterMs: this.expectedWaitMs(request) })
     if (request.workClass === 'rollout') return undefined
-    const mine = this.callers.get(request.caller) ?? 0
-    if (mine >= request.callerLimit) {
-      return failure('callerLimit', `${request.caller} has ${mine} requests in flight`, { retryAfterMs: this.meanHoldMs.interactive })
+    const inFlight = this.callers.get(request.caller) ?? 0
+    if (inFlight >= request.callerLimit) {
+      return failure('callerLimit', `${request.caller} has ${inFlight} requests in flight; the limit is ${request.callerLimit}`, { retryAfterMs: this.meanHoldMs.interactive })
     }
-    const wait = this.expectedWaitMs(request)
-    if (wait === 0 || wait <= this.longestUsefulWaitMs(request)) return undefined
-    return failure('overloaded', `the wait would be ${Math.round(wait)} ms`, { retryAfterMs: wait })
+    const expectedWaitMs = this.expectedWaitMs(request)
+    if (expectedWaitMs === 0 || expectedWaitMs <= this.maxUsefulWaitMs(request)) return undefined
+    return failure('overloaded', `the expected wait of ${Math.round(expectedWaitMs)} ms is too long`, { retryAfterMs: expectedWaitMs })
   }
 
-  /** Whether a slot is free and nobody waits who goes before. */
-  private freeNow (request: AcquireRequest): boolean {
-    const before = this.waiting.some((waiting) => rank(waiting.request) <= rank(request))
-    return !before && this.chooseTarget(request) !== undefined
+  /** Whether a slot is free and no waiting request takes precedence. */
+  private canStartNow (request: AcquireRequest): boolean {
+    const hasEarlierRequest = this.waiting.some((waiting) => rank(waiting.request) <= rank(request))
+    return !hasEarlierRequest && this.chooseTarget(request) !== undefined
   }
 
   private countCaller ({ workClass, caller }: { workClass: WorkClass, caller: string }, change: number): void {
@@ -199,63 +201,63 @@
     else this.callers.delete(caller)
   }
 
-  private serve (now: number): AdmissionDecision[] {
-    const decisions = this.refuseLate(now)
+  private serveQueue (now: number): AdmissionDecision[] {
+    const decisions = this.refuseOverdue(now)
     for (;;) {
-      const next = this.nextServable()
+      const next = this.findNextServable()
       if (next === undefined) break
       const { waiting, usage } = next
-      this.dropWaiting((candidate) => candidate === waiting)
-      decisions.push(this.grant(waiting.request, usage, now))
+      this.removeWaiting((candidate) => candidate === waiting)
+      decisions.push(this.createGrant(waiting.request, usage, now))
     }
     return [...decisions, ...this.preempt(now)]
   }
 
-  private nextServable (): { waiting: Waiting, usage: Usage } | undefined {
-    for (const waiting of this.inOrder()) {
+  private findNextServable (): { waiting: QueuedRequest, usage: TargetUsage } | undefined {
+    for (const waiting of this.sortedQueue()) {
       const usage = this.chooseTarget(waiting.request)
       if (usage !== undefined) return { waiting, usage }
     }
     return undefined
   }
 
-  /** Interactive by priority and age; then rollouts, least served flow first. */
-  private inOrder (): readonly Waiting[] {
+  /** Orders interactive requests by priority and age, followed by rollouts with the least served flow first. */
+  private sortedQueue (): readonly QueuedRequest[] {
     if (this.waiting.length < 2) return this.waiting
     return [...this.waiting].sort((a, b) => {
       const byRank = rank(a.request) - rank(b.request)
       if (byRank !== 0) return byRank
       if (a.request.workClass === 'rollout') {
-        const byShare = this.served(a.request.flow) - this.served(b.request.flow)
+        const byShare = this.virtualTimeOf(a.request.flow) - this.virtualTimeOf(b.request.flow)
         if (byShare !== 0) return byShare
       }
       return a.since - b.since
     })
   }
 
-  private served (flow: string): number {
-    return this.virtualTime.get(flow) ?? 0
+  private virtualTimeOf (flow: string): number {
+    return this.virtualTimeByFlow.get(flow) ?? 0
   }
 
-  private chooseTarget (request: AcquireRequest): Usage | undefined {
-    const cached = this.cachedTarget(request)
+  private chooseTarget (request: AcquireRequest): TargetUsage | undefined {
+    const cached = this.findCachedTarget(request)
     if (cached !== undefined) return cached
-    let best: Usage | undefined
-    for (const usage of this.usages.values()) {
-      if (isFree(usage, request) && (best === undefined || load(usage) < load(best))) best = usage
+    let best: TargetUsage | undefined
+    for (const usage of this.usageByTarget.values()) {
+      if (hasFreeSlot(usage, request) && (best === undefined || utilization(usage) < utilization(best))) best = usage
     }
     return best
   }
 
-  private cachedTarget (request: AcquireRequest): Usage | undefined {
-    const name = request.prefix === undefined ? undefined : this.prefixes.get(request.prefix)
-    const usage = name === undefined ? undefined : this.usages.get(name)
-    if (usage === undefined || !isFree(usage, request)) return undefined
-    const mean = (this.held.size + 1) / Math.max(1, this.slots)
-    return (usage.running + 1) / usage.target.slots <= Math.max(mean * AFFINITY_LOAD_BOUND, 1 / usage.target.slots) ? usage : undefined
+  private findCachedTarget (request: AcquireRequest): TargetUsage | undefined {
+    const name = request.prefix === undefined ? undefined : this.targetByPrefix.get(request.prefix)
+    const usage = name === undefined ? undefined : this.usageByTarget.get(name)
+    if (usage === undefined || !hasFreeSlot(usage, request)) return undefined
+    const meanLoad = (this.held.size + 1) / Math.max(1, this.slots)
+    return (usage.running + 1) / usage.target.slots <= Math.max(meanLoad * MAX_AFFINITY_LOAD_RATIO, 1 / usage.target.slots) ? usage : undefined
   }
 
-  private grant (request: AcquireRequest, usage: Usage, now: number): AdmissionDecision {
+  private createGrant (request: AcquireRequest, usage: TargetUsage, now: number): AdmissionDecision {
     const grant: Grant = {
       grant: request.grant,
       holder: request.holder,
@@ -264,74 +266,74 @@
       flow: request.flow,
       caller: request.caller
     }
-    this.hold({ ...grant, since: now, renewed: now })
-    if (request.workClass === 'rollout') this.advance(request)
-    if (request.prefix !== undefined) this.remember(request.prefix, usage.target.name)
+    this.addGrant({ ...grant, since: now, renewedAt: now })
+    if (request.workClass === 'rollout') this.advanceVirtualTime(request)
+    if (request.prefix !== undefined) this.rememberPrefix(request.prefix, usage.target.name)
     return { type: 'granted', grant, address: usage.target.address }
   }
 
-  /** A flow that was idle must not save up turns, so it starts where the others are. */
-  private advance (request: AcquireRequest): void {
+  /** Advances the virtual time of a flow. A flow that was idle must not accumulate credit, so it starts at the minimum of the active flows. */
+  private advanceVirtualTime (request: AcquireRequest): void {
     const active = new Set(this.waiting.filter((waiting) => waiting.request.workClass === 'rollout').map((waiting) => waiting.request.flow))
-    const floor = active.size === 0 ? 0 : Math.min(...[...active].map((flow) => this.served(flow)))
-    const start = Math.max(this.served(request.flow), active.has(request.flow) ? 0 : floor)
-    this.virtualTime.set(request.flow, start + 1 / request.share)
-    for (const flow of this.virtualTime.keys()) {
+    const minVirtualTime = active.size === 0 ? 0 : Math.min(...[...active].map((flow) => this.virtualTimeOf(flow)))
+    const start = Math.max(this.virtualTimeOf(request.flow), active.has(request.flow) ? 0 : minVirtualTime)
+    this.virtualTimeByFlow.set(request.flow, start + 1 / request.share)
+    for (const flow of this.virtualTimeByFlow.keys()) {
       const used = active.has(flow) || flow === request.flow || [...this.held.values()].some((held) => held.flow === flow)
-      if (!used) this.virtualTime.delete(flow)
+      if (!used) this.virtualTimeByFlow.delete(flow)
     }
   }
 
-  private remember (prefix: string, target: TargetName): void {
-    this.prefixes.delete(prefix)
-    this.prefixes.set(prefix, target)
-    if (this.prefixes.size <= PREFIXES_REMEMBERED) return
-    const oldest = this.prefixes.keys().next()
-    if (oldest.done !== true) this.prefixes.delete(oldest.value)
+  private rememberPrefix (prefix: string, target: TargetName): void {
+    this.targetByPrefix.delete(prefix)
+    this.targetByPrefix.set(prefix, target)
+    if (this.targetByPrefix.size <= MAX_TRACKED_PREFIXES) return
+    const oldest = this.targetByPrefix.keys().next()
+    if (oldest.done !== true) this.targetByPrefix.delete(oldest.value)
   }
 
   /**
-   * Asks for one rollout's slot per interactive request that found none, youngest rollout first. A
-   * request to give a slot back can be lost; if nothing came of it, it is made again.
+   * Revokes one rollout's grant for each interactive request that found no slot, youngest rollout
+   * first. A revocation can be lost, so it is repeated if the grant is not released.
    */
   private preempt (now: number): AdmissionDecision[] {
     const wanted = this.waiting.filter(({ request }) => request.workClass === 'interactive').length
     if (wanted === 0) return []
-    const asked = (held: Held): boolean => held.revokedAt !== undefined && now - held.revokedAt < REVOKE_AGAIN_MS
-    const underway = [...this.held.values()].filter(asked).length
+    const isRevocationPending = (held: HeldGrant): boolean => held.revokedAt !== undefined && now - held.revokedAt < REVOKE_RETRY_INTERVAL_MS
+    const pendingRevocations = [...this.held.values()].filter(isRevocationPending).length
     const candidates = [...this.held.values()]
-      .filter((held) => held.workClass === 'rollout' && !asked(held) && this.usages.get(held.target)?.target.available === true)
+      .filter((held) => held.workClass === 'rollout' && !isRevocationPending(held) && this.usageByTarget.get(held.target)?.target.available === true)
       .sort((a, b) => b.since - a.since)
-      .slice(0, Math.max(0, wanted - underway))
+      .slice(0, Math.max(0, wanted - pendingRevocations))
     return candidates.map((held) => {
       held.revokedAt = now
-      return { type: 'revoke', grant: plainGrant(held) }
+      return { type: 'revoke', grant: toGrant(held) }
     })
   }
 
-  private hold (held: Held): void {
+  private addGrant (held: HeldGrant): void {
     this.held.set(held.grant, held)
     this.countCaller(held, 1)
     if (held.workClass === 'interactive') this.interactiveHeld++
-    const usage = this.usages.get(held.target)
+    const usage = this.usageByTarget.get(held.target)
     if (usage !== undefined) usage.running++
   }
 
-  private forget (held: Held): void {
+  private removeGrant (held: HeldGrant): void {
     this.held.delete(held.grant)
     this.countCaller(held, -1)
     if (held.workClass === 'interactive') this.interactiveHeld--
-    const usage = this.usages.get(held.target)
+    const usage = this.usageByTarget.get(held.target)
     if (usage !== undefined) usage.running--
   }
 
-  private dropWaiting (drop: (waiting: Waiting, position: number) => boolean): Waiting[] {
-    const dropped = this.waiting.filter(drop)
-    for (const waiting of dropped) {
+  private removeWaiting (predicate: (waiting: QueuedRequest, position: number) => boolean): QueuedRequest[] {
+    const removed = this.waiting.filter(predicate)
+    for (const waiting of removed) {
       this.waiting.splice(this.waiting.indexOf(waiting), 1)
       this.countCaller(waiting.request, -1)
     }
-    return dropped
+    return removed
   }
 }
 
@@ -339,24 +341,24 @@
   return request.workClass === 'interactive' ? request.priority : 100
 }
 
-/** A target whose version is not known yet may be tried: its own words will tell. */
-function mayServe (target: ShardTarget, request: AcquireRequest): boolean {
+/** Whether a target may run a request. A target whose version is not known yet may be tried, as its answer reports the version. */
+function canServe (target: ShardTarget, request: AcquireRequest): boolean {
   const tooOld = request.minimumVersion !== undefined && target.version !== undefined && target.version < request.minimumVersion
   return target.available && !tooOld && !request.exclude.includes(target.name)
 }
 
-function isFree ({ target, running }: Usage, request: AcquireRequest): boolean {
-  return running < target.slots && mayServe(target, request)
+function hasFreeSlot ({ target, running }: TargetUsage, request: AcquireRequest): boolean {
+  return running < target.slots && canServe(target, request)
 }
 
-function load ({ target, running }: Usage): number {
+function utilization ({ target, running }: TargetUsage): number {
   return running / target.slots
 }
 
-function refuse (request: AcquireRequest, reason: Failure): AdmissionDecision {
+function createRefusal (request: AcquireRequest, reason: Failure): AdmissionDecision {
   return { type: 'refused', grant: request.grant, holder: request.holder, reason }
 }
 
-function plainGrant ({ grant, holder, target, workClass, flow, caller }: Held): Grant {
+function toGrant ({ grant, holder, target, workClass, flow, caller }: HeldGrant): Grant {
   return { grant, holder, target, workClass, flow, caller }
 }
--- a/src/core/common/samples/payload.ts
+++ b/src/core/common/samples/payload.ts
@@ -5,12 +5,12 @@
 
 const payloadSchema = z.strictObject({ v: z.literal(1), items: z.array(z.string()) })
 
-/** Writes texts as one entry. */
+/** Encodes texts as one entry. */
 export function encodePayload (items: readonly string[]): string {
   return JSON.stringify({ v: 1, items })
 }
 
-/** Reads an entry; undefined where it cannot be read. */
+/** Decodes an entry; returns `undefined` if it cannot be read. */
 export function decodePayload (data: string): readonly string[] | undefined {
   try {
     const parsed = payloadSchema.safeParse(JSON.parse(data))
@@ -20,7 +20,7 @@
   }
 }
 
-/** References to all items of one entry. */
+/** Creates references to all items of an entry. */
 export function referencesTo (offset: number, items: readonly string[]): PayloadReference[] {
   return items.map((_, item) => ({ offset, item }))
 }
--- a/src/core/common/samples/rollout.ts
+++ b/src/core/common/samples/rollout.ts
@@ -1,16 +1,16 @@
 /**
- * One rollout on its way: the text so far, and which weight version produced which tokens. It
- * outlives the stream that feeds it, so that a preempted or broken rollout goes on elsewhere from
- * where it stood, and every token keeps the version that truly produced it.
+ * Progress of a rollout: the text generated so far, and which weight version produced which tokens.
+ * It outlives the stream that feeds it, so a preempted or interrupted rollout can resume at another
+ * target, and every token keeps the version that actually produced it.
  */
 
 import type { Segment } from '../fold/records.ts'
 
-/** Part of a stream, in the engine's own words. */
+/** A part of a stream, as reported by the engine. */
 export interface RolloutPart {
   readonly text: string
   readonly tokens: number
-  /** Version that produced these tokens, as the engine reports it with them. */
+  /** Weight version that produced these tokens, as reported with them. */
   readonly version: number
 }
 
@@ -31,8 +31,8 @@
     return this.runs.map((run) => ({ ...run }))
   }
 
-  /** Version of the oldest token; undefined before the first. */
-  get oldest (): number | undefined {
+  /** The lowest weight version among the tokens; undefined before the first token. */
+  get oldestVersion (): number | undefined {
     return this.runs.length === 0 ? undefined : Math.min(...this.runs.map((run) => run.version))
   }
 
--- a/src/core/common/samples/rolloutPlan.ts
+++ b/src/core/common/samples/rolloutPlan.ts
@@ -1,16 +1,16 @@
 /**
- * What a subscription's home should have running: first attempts for open slots as far ahead as the
- * subscription allows, and second attempts for stragglers. The plan is worked out anew from the
- * fold each time, so a home that has just taken over goes on without being told anything.
+ * Plans the rollouts that the home of a subscription should run: first attempts for open slots, up to
+ * the subscription's limit of unacknowledged samples, and second attempts for stragglers. The plan is
+ * derived from the fold each time, so a home that has just taken over continues without a handover.
  */
 
 import type { SubscriptionState } from '../fold/subscriptions.ts'
 
-/** A rollout under way at this host. */
+/** A rollout that is running on this host. */
 export interface RunningRollout {
   readonly group: string
   readonly index: number
-  /** Monotonic start, in milliseconds. */
+  /** Monotonic start time, in milliseconds. */
   readonly since: number
 }
 
@@ -22,49 +22,49 @@
 }
 
 export interface PlanLimits {
-  /** Samples generated and not acknowledged, at most. */
+  /** Maximum number of samples generated but not yet acknowledged. */
   readonly ahead: number
-  /** Rollouts to have running at once, at most. */
+  /** Maximum number of concurrent rollouts. */
   readonly parallel: number
   readonly stragglerFactor: number
-  /** Median time of recent rollouts, in milliseconds; undefined before there are any. */
+  /** Median duration of recent rollouts, in milliseconds; undefined before the first one. */
   readonly medianMs?: number
 }
 
-const MAXIMUM_ATTEMPTS_PER_SLOT = 2
+const MAX_ATTEMPTS_PER_SLOT = 2
 
 export function planRollouts (state: SubscriptionState, running: readonly RunningRollout[], limits: PlanLimits, now: number): PlannedRollout[] {
-  const underway = new Map<string, RunningRollout[]>()
+  const runningBySlot = new Map<string, RunningRollout[]>()
   for (const rollout of running) {
     const key = slotKey(rollout.group, rollout.index)
-    underway.set(key, [...underway.get(key) ?? [], rollout])
+    runningBySlot.set(key, [...runningBySlot.get(key) ?? [], rollout])
   }
-  const room = limits.parallel - running.length
-  const planned = [...firstAttempts(state, underway, limits), ...stragglers(state, underway, limits, now)]
-  return planned.slice(0, Math.max(0, room))
+  const freeCapacity = limits.parallel - running.length
+  const planned = [...planFirstAttempts(state, runningBySlot, limits), ...planStragglerAttempts(state, runningBySlot, limits, now)]
+  return planned.slice(0, Math.max(0, freeCapacity))
 }
 
-/** Groups are worked on in the order of submission, whole, so that the oldest step completes first. */
-function firstAttempts (state: SubscriptionState, underway: ReadonlyMap<string, readonly RunningRollout[]>, limits: PlanLimits): PlannedRollout[] {
+/** Plans first attempts for complete groups in order of submission, so that the oldest step completes first. */
+function planFirstAttempts (state: SubscriptionState, runningBySlot: ReadonlyMap<string, readonly RunningRollout[]>, limits: PlanLimits): PlannedRollout[] {
   const planned: PlannedRollout[] = []
   let samples = 0
   for (const [name, group] of Object.entries(state.groups)) {
     samples += group.slots.length
     if (samples > limits.ahead && samples > group.slots.length) break
     group.slots.forEach((sample, index) => {
-      if (sample === null && !underway.has(slotKey(name, index))) planned.push({ group: name, index, straggler: false })
+      if (sample === null && !runningBySlot.has(slotKey(name, index))) planned.push({ group: name, index, straggler: false })
     })
   }
   return planned
 }
 
-function stragglers (state: SubscriptionState, underway: ReadonlyMap<string, readonly RunningRollout[]>, limits: PlanLimits, now: number): PlannedRollout[] {
+function planStragglerAttempts (state: SubscriptionState, runningBySlot: ReadonlyMap<string, readonly RunningRollout[]>, limits: PlanLimits, now: number): PlannedRollout[] {
   if (limits.medianMs === undefined) return []
-  const bound = limits.medianMs * limits.stragglerFactor
+  const thresholdMs = limits.medianMs * limits.stragglerFactor
   const planned: PlannedRollout[] = []
-  for (const attempts of underway.values()) {
+  for (const attempts of runningBySlot.values()) {
     const [first] = attempts
-    if (first === undefined || attempts.length >= MAXIMUM_ATTEMPTS_PER_SLOT || now - first.since < bound) continue
+    if (first === undefined || attempts.length >= MAX_ATTEMPTS_PER_SLOT || now - first.since < thresholdMs) continue
     if (state.groups[first.group]?.slots[first.index] === null) planned.push({ group: first.group, index: first.index, straggler: true })
   }
   return planned
--- a/src/core/common/usage/usageFold.ts
+++ b/src/core/common/usage/usageFold.ts
@@ -1,6 +1,7 @@
 /**
- * The fold of the usage topic: what was counted for each window, which windows are sealed, and up to where they are reported. All
- * who have read as far hold the same. A seal is final: counts that come after it are not in any report, and their number is told.
+ * The fold of the usage topic: the counts of each window, which windows are sealed, and up to which window they are reported. All
+ * hosts that have read the topic up to the same offset hold the same state. A seal is final: counts that arrive after it are not
+ * part of any report, and only their number is recorded.
  */
 
 import type { WorkspaceName } from '../../../base/common/ids.ts'
@@ -9,7 +10,7 @@
 import { readUsageRecord } from './usageRecords.ts'
 
 interface FoldedWindow {
-  /** Counts by the keys of their records. */
+  /** Counts by the key of their record. */
   readonly counts: Map<string, UsageCounts>
   sealed: UsageCounts | undefined
   readonly keys: Set<string>
@@ -22,44 +23,44 @@
 
 export class UsageFold {
   private readonly windows = new Map<number, FoldedWindow>()
-  private through: number | undefined
-  /** Records of how far all is reported, by their keys. */
+  private reportedThroughWindow: number | undefined
+  /** Reported windows, by the key of their record. */
   private readonly reports = new Map<string, number>()
   private lateCount = 0
 
-  /** Starts over with all newest records, in their order. */
+  /** Discards the state and rebuilds it from the newest record of each key, in log order. */
   reset (entries: readonly KeyedEntry[]): void {
     this.windows.clear()
     this.reports.clear()
-    this.through = undefined
+    this.reportedThroughWindow = undefined
     this.apply(entries)
     this.lateCount = 0
   }
 
   apply (entries: readonly KeyedEntry[]): void {
-    for (const entry of entries) this.take(entry)
+    for (const entry of entries) this.applyEntry(entry)
   }
 
-  /** Last of the windows that are reported without a gap; `undefined` before the first report. */
+  /** The last window up to which all windows are reported; `undefined` before the first report. */
   get reportedThrough (): number | undefined {
-    return this.through
+    return this.reportedThroughWindow
   }
 
-  /** Windows that are sealed and not reported, the oldest first. */
+  /** Sealed windows that are not reported yet, oldest first. */
   get unreported (): SealedWindow[] {
     return [...this.windows]
       .flatMap(([window, { sealed }]) => sealed === undefined || this.isReported(window) ? [] : [{ window, counts: sealed }])
       .sort((a, b) => a.window - b.window)
   }
 
-  /** Oldest window with counts that is neither sealed nor reported. */
-  get oldestOpen (): number | undefined {
+  /** The oldest window with counts that is neither sealed nor reported. */
+  get oldestOpenWindow (): number | undefined {
     const open = [...this.windows].filter(([window, { sealed, counts }]) => sealed === undefined && counts.size > 0 && !this.isReported(window)).map(([window]) => window)
     return open.length === 0 ? undefined : Math.min(...open)
   }
 
-  /** All that hosts have handed in for a window so far. */
-  total (window: number): UsageCounts {
+  /** Returns the sum of the counts that hosts have submitted for a window so far. */
+  totalCounts (window: number): UsageCounts {
     const total = new Map<WorkspaceName, number>()
     for (const counts of this.windows.get(window)?.counts.values() ?? []) {
       for (const [workspace, count] of counts) total.set(workspace, Math.min(Number.MAX_SAFE_INTEGER, (total.get(workspace) ?? 0) + count))
@@ -67,17 +68,17 @@
     return total
   }
 
-  /** Keys of records that nobody needs once all windows up to one are reported. */
-  keysThrough (window: number): string[] {
-    const former = [...this.reports].filter(([, through]) => through < window).map(([key]) => key)
-    return [...[...this.windows].flatMap(([number, { keys }]) => number <= window ? [...keys] : []), ...former]
+  /** Returns the keys of records that are obsolete once all windows up to the given one are reported. */
+  obsoleteKeys (window: number): string[] {
+    const olderReportKeys = [...this.reports].filter(([, through]) => through < window).map(([key]) => key)
+    return [...[...this.windows].flatMap(([number, { keys }]) => number <= window ? [...keys] : []), ...olderReportKeys]
   }
 
-  /** Requests that came too late for the seal of their window since this was last asked. */
-  takeLate (): number {
-    const late = this.lateCount
+  /** Returns the number of requests counted after their window was sealed, and resets it. */
+  takeLateCount (): number {
+    const lateCount = this.lateCount
     this.lateCount = 0
-    return late
+    return lateCount
   }
 
   private isSealed (window: number): boolean {
@@ -85,37 +86,37 @@
   }
 
   private isReported (window: number): boolean {
-    return this.through !== undefined && window <= this.through
+    return this.reportedThroughWindow !== undefined && window <= this.reportedThroughWindow
   }
 
-  private take (entry: KeyedEntry): void {
+  private applyEntry (entry: KeyedEntry): void {
     const record = readUsageRecord(entry)
     switch (record.kind) {
       case 'none': return undefined
-      case 'dropped': return this.drop(entry.key)
+      case 'dropped': return this.removeKey(entry.key)
       case 'reported':
-        this.through = Math.max(this.through ?? record.through, record.through)
+        this.reportedThroughWindow = Math.max(this.reportedThroughWindow ?? record.through, record.through)
         this.reports.set(entry.key, record.through)
         return undefined
       case 'seal': {
-        const window = this.window(record.window)
+        const window = this.getOrCreateWindow(record.window)
         window.keys.add(entry.key)
         window.sealed ??= record.counts
         return undefined
       }
-      case 'counts': return this.count(entry.key, record.window, record.counts)
+      case 'counts': return this.applyCounts(entry.key, record.window, record.counts)
     }
   }
 
-  private count (key: string, number: number, counts: UsageCounts): void {
+  private applyCounts (key: string, number: number, counts: UsageCounts): void {
     const isLate = this.isSealed(number)
-    const window = this.window(number)
+    const window = this.getOrCreateWindow(number)
     if (isLate && !window.counts.has(key)) for (const count of counts.values()) this.lateCount += count
     window.keys.add(key)
     window.counts.set(key, counts)
   }
 
-  private drop (key: string): void {
+  private removeKey (key: string): void {
     this.reports.delete(key)
     for (const [number, window] of this.windows) {
       if (!window.keys.delete(key)) continue
@@ -124,9 +125,9 @@
     }
   }
 
-  private window (number: number): FoldedWindow {
-    const known = this.windows.get(number)
-    if (known !== undefined) return known
+  private getOrCreateWindow (number: number): FoldedWindow {
+    const existing = this.windows.get(number)
+    if (existing !== undefined) return existing
     const window: FoldedWindow = { counts: new Map(), sealed: undefined, keys: new Set() }
     this.windows.set(number, window)
     return window
--- a/src/core/common/usage/usagePlan.ts
+++ b/src/core/common/usage/usagePlan.ts
@@ -1,7 +1,8 @@
 /**
- * What the holder of the duty does next about the usage report. Load pattern: holders come and go between the end of a window and
- * its report, the store and the interface are away for seconds, and answers are lost; two different reports for one window must
- * never be sent. So the counts of a window are sealed in the store before the first send, and whoever sends, sends the sealed ones.
+ * Determines the next action of the duty holder for usage reports. Load pattern: the holder changes between the end of a window and
+ * its report, the store and the reporting interface are unavailable for seconds, and responses are lost. Two different reports for
+ * one window must never be sent. Therefore the counts of a window are sealed in the store before the first attempt to send them,
+ * and every holder sends the sealed counts.
  */
 
 import type { UsageFold, SealedWindow } from './usageFold.ts'
@@ -14,48 +15,48 @@
   readonly dueMs: number
 }
 
-export type UsageStep =
-  /** The counts of a window are to be made final. */
+export type UsageAction =
+  /** Make the counts of a window final. */
   | { readonly type: 'seal', readonly window: number, readonly counts: UsageCounts }
   | { readonly type: 'report', readonly report: SealedWindow }
-  /** All up to a window are reported: that is written down, and what nobody needs any more is dropped. */
+  /** Record that all windows up to this one are reported, and drop obsolete records. */
   | { readonly type: 'close', readonly through: number, readonly keys: readonly string[] }
   | { readonly type: 'wait' }
 
-/** Part of the time until a report is due that hosts have to hand in their counts, as most requests end within a second or two; the rest is for outages. */
-const HAND_IN_SHARE = 0.3
-/** Windows before the present one that are reported though nothing was counted in them, at most: an older gap is an outage of the whole system. */
-const MOST_EMPTY_WINDOWS = 120
+/** Share of the time until a report is due in which hosts submit their counts. Most requests end within a second or two; the rest of the time covers outages. */
+const SUBMISSION_TIME_SHARE = 0.3
+/** Maximum number of windows before the current one that are reported although they have no counts. An older gap is an outage of the whole system. */
+const MAX_EMPTY_WINDOWS = 120
 
-/** The window that a moment belongs to; windows are counted from the epoch. */
+/** Returns the window that a point in time belongs to. Windows are numbered from the Unix epoch. */
 export function windowAt (wallMs: number, windowMs: number): number {
   return Math.floor(wallMs / windowMs)
 }
 
-/** What a holder knows beside the topic. */
-export interface HolderKnowledge {
-  /** Windows whose report was accepted, though the topic may not say so yet. */
+/** State of the duty holder that is not part of the topic. */
+export interface HolderState {
+  /** Windows whose report was accepted, even if the topic does not contain that yet. */
   readonly acknowledged: ReadonlySet<number>
-  /** The window in which it began to hold the duty: reports begin there if there are none yet. */
+  /** The window in which the holder took over the duty. Reports start there if there are none yet. */
   readonly firstWindow: number
 }
 
-export function nextUsageStep (fold: UsageFold, { acknowledged, firstWindow }: HolderKnowledge, wallMs: number, times: UsageTimes): UsageStep {
+export function nextUsageAction (fold: UsageFold, { acknowledged, firstWindow }: HolderState, wallMs: number, times: UsageTimes): UsageAction {
   const unreported = fold.unreported
   const report = unreported.find(({ window }) => !acknowledged.has(window))
   if (report !== undefined) return { type: 'report', report }
   const through = unreported.at(-1)?.window
-  if (through !== undefined) return { type: 'close', through, keys: fold.keysThrough(through) }
-  const window = nextToSeal(fold, firstWindow, windowAt(wallMs, times.windowMs))
-  return wallMs >= sealAt(window, times) ? { type: 'seal', window, counts: fold.total(window) } : { type: 'wait' }
+  if (through !== undefined) return { type: 'close', through, keys: fold.obsoleteKeys(through) }
+  const window = nextWindowToSeal(fold, firstWindow, windowAt(wallMs, times.windowMs))
+  return wallMs >= sealTimeMs(window, times) ? { type: 'seal', window, counts: fold.totalCounts(window) } : { type: 'wait' }
 }
 
-/** Time of day from which a window may be sealed. */
-export function sealAt (window: number, { windowMs, dueMs }: UsageTimes): number {
-  return (window + 1) * windowMs + dueMs * HAND_IN_SHARE
+/** Returns the wall-clock time from which a window may be sealed, in milliseconds. */
+export function sealTimeMs (window: number, { windowMs, dueMs }: UsageTimes): number {
+  return (window + 1) * windowMs + dueMs * SUBMISSION_TIME_SHARE
 }
 
-function nextToSeal (fold: UsageFold, firstWindow: number, present: number): number {
-  const following = fold.reportedThrough === undefined ? firstWindow : Math.max(fold.reportedThrough + 1, present - MOST_EMPTY_WINDOWS)
-  return Math.min(following, fold.oldestOpen ?? following)
+function nextWindowToSeal (fold: UsageFold, firstWindow: number, currentWindow: number): number {
+  const following = fold.reportedThrough === undefined ? firstWindow : Math.max(fold.reportedThrough + 1, currentWindow - MAX_EMPTY_WINDOWS)
+  return Math.min(following, fold.oldestOpenWindow ?? following)
 }
--- a/src/core/common/usage/usageRecords.ts
+++ b/src/core/common/usage/usageRecords.ts
@@ -1,8 +1,8 @@
 /**
- * Records of usage in a keyed topic. Counts have a key of their own for each time that a host hands some in, so that a repeat after
- * a lost answer replaces itself and nothing else. Of several seals of a window the first in the topic holds; each has a key of its
- * own, as a seal that was written again would move behind another. How far all is reported has a key for each window too: under a
- * common one a record that is carried out late would replace a newer one, and windows would be reported a second time.
+ * Usage records in a keyed topic. Each submission of counts by a host has a unique key, so a repeat after a lost response replaces
+ * only itself. If a window has several seals, the first one in the topic is valid. Each seal has a unique key, because a seal that
+ * is written again under the same key would move behind another one. Records of reported windows have one key per window as well:
+ * with a common key, a record that is applied late would replace a newer one, and windows would be reported again.
  */
 
 import { z } from 'zod'
@@ -11,7 +11,7 @@
 import type { KeyedEntry, KeyedRecord } from '../../../ports/common/keyedLog.ts'
 import { parseValue } from '../keyedRecords.ts'
 
-/** Requests of each workspace that targets began to run. */
+/** Number of requests that targets started to run, by workspace. */
 export type UsageCounts = ReadonlyMap<WorkspaceName, number>
 
 export type UsageRecord =
@@ -24,11 +24,11 @@
 
 const countSchema = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER)
 const countsSchema = z.record(z.string(), countSchema)
-const encode = encodeURIComponent
+const encodeKeyPart = encodeURIComponent
 
-/** Counts that a host hands in; `sequence` rises with each record of this life of the host. */
+/** Creates a record of counts submitted by a host. `sequence` increases with each record of this incarnation of the host. */
 export function countsRecord (window: number, counts: UsageCounts, host: string, sequence: number): KeyedRecord {
-  return { key: `counts/${window}/${encode(host)}/${sequence}`, value: encodeCounts(counts) }
+  return { key: `counts/${window}/${encodeKeyPart(host)}/${sequence}`, value: encodeCounts(counts) }
 }
 
 export function sealRecord (window: number, counts: UsageCounts, nonce: string): KeyedRecord {
@@ -39,7 +39,7 @@
   return { key: `reported/${through}`, value: '{}' }
 }
 
-/** Reads a record; what is not known or cannot be read is `none` for all hosts alike. */
+/** Decodes a record. On all hosts, a record that is unknown or cannot be read is `none`. */
 export function readUsageRecord ({ key, value }: KeyedEntry): UsageRecord {
   if (value === undefined) return { kind: 'dropped' }
   const [kind, number = ''] = key.split('/')
--- a/src/entry/node/front/frontServer.ts
+++ b/src/entry/node/front/frontServer.ts
@@ -167,10 +167,10 @@
   /** The route of a request; a missing one may be newer than what this host has read. */
   private async findRoute (exchange: FrontExchange): Promise<Route | 'unknown' | undefined> {
     const { operator } = this.services
-    const route = operator.routes?.find(exchange.host, exchange.path)
+    const route = operator.routes?.findRoute(exchange.host, exchange.path)
     if (route !== undefined) return route
     if (!await operator.catchUp()) return 'unknown'
-    return operator.routes?.find(exchange.host, exchange.path)
+    return operator.routes?.findRoute(exchange.host, exchange.path)
   }
 
   private rejectBroken (error: Error & { code?: string }, socket: Socket): void {
--- a/test/actors/routes/silence.test.ts
+++ b/test/actors/routes/silence.test.ts
@@ -8,7 +8,7 @@
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
 import type { Result } from '../../../src/base/common/resultCode.ts'
 import type { Route } from '../../../src/core/common/routes/routeConfiguration.ts'
-import { lateAfterMs } from '../../../src/core/common/routes/silence.ts'
+import { hedgeDelayMs } from '../../../src/core/common/routes/hedging.ts'
 import type { TargetClient } from '../../../src/ports/common/targetClient.ts'
 import { targetProtocol } from '../../../platform/index.ts'
 import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
@@ -171,11 +171,11 @@
 
 describe('the time after which an attempt is sent once more', () => {
   it('is half the objective where a caller waits', () => {
-    expect(lateAfterMs({ objectiveMs: 156, allowedMs: 2000, answerMs: 500, background: false })).to.equal(78)
+    expect(hedgeDelayMs({ objectiveMs: 156, allowedMs: 2000, answerMs: 500, background: false })).to.equal(78)
   })
 
   it('follows the usual answers of the target in the background, up to a third of the whole time', () => {
-    const late = (answerMs: number | undefined): number => lateAfterMs({ objectiveMs: 500, allowedMs: 3000, answerMs, background: true })
+    const late = (answerMs: number | undefined): number => hedgeDelayMs({ objectiveMs: 500, allowedMs: 3000, answerMs, background: true })
     expect([late(undefined), late(100), late(250), late(900)]).to.deep.equal([500, 500, 750, 1000])
   })
 })
--- a/test/actors/steps/itemGate.test.ts
+++ b/test/actors/steps/itemGate.test.ts
@@ -6,18 +6,18 @@
 import type { RunEnd } from '../../../src/actors/common/steps/itemRun.ts'
 import type { ItemWork } from '../../../src/actors/common/steps/stepWork.ts'
 import { newWork } from '../../../src/actors/common/steps/stepWork.ts'
-import type { Standing } from '../../../src/core/common/routes/endFold.ts'
+import type { HoldState } from '../../../src/core/common/routes/heldRequestFold.ts'
 import { ManualClock, settle } from '../../support/manualClock.ts'
 import { route } from '../../support/routes.ts'
 import { item } from '../../support/steps.ts'
 import { newText } from '../../support/texts.ts'
 
 const payload = item('i', 'g')
-const held: Standing = { type: 'held', ends: 2, trials: 0, trialUnderWay: false, nextTrialInMs: 0 }
+const held: HoldState = { type: 'held', ends: 2, trials: 0, trialUnderWay: false, nextTrialInMs: 0 }
 
 class Scene {
   readonly clock = new ManualClock()
-  standing: Standing = held
+  standing: HoldState = held
   admission: Admission | undefined
   asked = 0
   admitted = 0
--- a/test/actors/usage/usageMeter.test.ts
+++ b/test/actors/usage/usageMeter.test.ts
@@ -16,7 +16,7 @@
   const total = (window: number): number => {
     const fold = new UsageFold()
     fold.apply(log.entries)
-    return fold.total(window).get(acme) ?? 0
+    return fold.totalCounts(window).get(acme) ?? 0
   }
   return { clock, log, meter, total }
 }
--- a/test/core/explanation/explanation.test.ts
+++ b/test/core/explanation/explanation.test.ts
@@ -1,8 +1,8 @@
-/** Stories from recorded log lines. */
+/** Timelines from recorded log lines. */
 
 import { expect } from 'chai'
 import { readLine } from '../../../src/commandLine/node/explainCommand.ts'
-import { explain, formatStory } from '../../../src/core/common/explanation/explanation.ts'
+import { explain, formatTimeline } from '../../../src/core/common/explanation/explanation.ts'
 import type { LogLine } from '../../../src/core/common/explanation/explanation.ts'
 
 const at = (seconds: number): string => new Date(1_790_000_000_000 + seconds * 1000).toISOString()
@@ -22,20 +22,20 @@
   line(60, 'b/1', 'changed', 'configuration in force', { version: 9 })
 ].map(readLine).filter((read): read is LogLine => read !== undefined)
 
-describe('the story', () => {
-  it('of an item has its runs, its step and what its host learned meanwhile', () => {
-    expect(formatStory(explain(recorded, 'i1'))).toMatchSnapshot()
+describe('the timeline', () => {
+  it('of an item contains its runs, its step and the status changes of its host', () => {
+    expect(formatTimeline(explain(recorded, 'i1'))).toMatchSnapshot()
   })
 
-  it('of a request has its attempts', () => {
+  it('of a request contains its attempts', () => {
     expect(explain(recorded, 'r1').map(({ what }) => what)).to.deep.equal(['call ended'])
   })
 
-  it('of a step has all that names it', () => {
+  it('of a step contains all lines that mention it', () => {
     expect(explain(recorded, 's1').filter(({ type }) => type === 'decided').map(({ what }) => what)).to.deep.equal(['step submitted', 'step adopted', 'run ended', 'run ended', 'run ended'])
   })
 
-  it('of a request that was held back has the ends and trials that other hosts saw of its repeats, and so has that of its fingerprint', () => {
+  it('of a held request, and of its fingerprint, contains the ends and trials that other hosts logged for its repeats', () => {
     const lines = [
       line(0, 'a/1', 'decided', 'target ended under requests', { target: 't1', requests: 'r0 r1', fingerprints: 'f0 f1', underWay: 2 }),
       line(1, 'b/1', 'decided', 'request held back', { fingerprint: 'f0', target: 't2', ends: 2, trials: 0 }),
@@ -51,15 +51,15 @@
 
   it('of an unknown id is empty', () => { expect(explain(recorded, 'nobody')).to.deep.equal([]) })
 
-  it('is read from lines with something before them, and passes over what is no log line', () => {
+  it('is read from lines with a prefix, and ignores text that is not a log line', () => {
     expect(readLine(`  12.5 host ${line(0, 'a/1', 'changed', 'start', {})}`)?.what).to.equal('start')
     for (const text of ['', 'not JSON', '{"time":1}', '{"time"', '{"time":"2026","host":1}']) expect(readLine(text)).to.equal(undefined)
   })
 
-  it('leaves out what had no part in it: other hosts, topics, models and targets', () => {
-    // The story of one item had hundreds of lines about hosts, topics and targets that it never met,
-    // as each change that its hosts came to believe within some seconds was taken in.
-    const noisy = [
+  it('leaves out unrelated hosts, topics, models and targets', () => {
+    // If all status changes that the involved hosts log within a few seconds are included, the timeline of one
+    // item has hundreds of lines about unrelated hosts, topics and targets.
+    const unrelated = [
       line(0, 'a/1', 'decided', 'step submitted', { step: 's1', model: 'm1', outcome: 'accepted' }),
       line(0.1, 'b/1', 'changed', 'hosts known', { hosts: 83, alive: 83, known: 84 }),
       line(0.2, 'b/1', 'changed', 'host status', { member: 'z/1', status: 'dead', was: 'alive' }),
@@ -76,7 +76,7 @@
       line(1.3, 'b/1', 'decided', 'result listed', { step: 's1', item: 'i1', position: 0, offset: 12, term: 1 }),
       line(1.4, 'a/1', 'changed', 'host is suspect', { member: 'b/1' })
     ].map(readLine).filter((read): read is LogLine => read !== undefined)
-    expect(explain(noisy, 'i1').map(({ what, details }) => [what, details.topic ?? details.model ?? details.member].filter((part) => part !== undefined).join(' '))).to.deep.equal([
+    expect(explain(unrelated, 'i1').map(({ what, details }) => [what, details.topic ?? details.model ?? details.member].filter((part) => part !== undefined).join(' '))).to.deep.equal([
       'step submitted m1', 'topic loaded steps', 'version named m1', 'store lost other', 'run ended', 'append not confirmed steps', 'result listed', 'host is suspect b/1'
     ])
   })
--- a/test/core/explanation/losses.test.ts
+++ b/test/core/explanation/losses.test.ts
@@ -1,4 +1,4 @@
-/** Accounts of steps and their losses from recorded log lines. */
+/** Summaries of steps, and the ranking of their losses, from recorded log lines. */
 
 import { expect } from 'chai'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
@@ -9,8 +9,8 @@
 const at = (seconds: number): string => new Date(1_790_000_000_000 + seconds * 1000).toISOString()
 const line = (seconds: number, host: string, type: string, what: string, details: object): string => JSON.stringify({ time: at(seconds), host, type, what, ...details })
 
-/** A step that is asked at a time, adopted 0.1 s later, and has what is wanted after so long. */
-function step (id: string, number: number, asked: number, wantedAfter: number | undefined, phases: object): string[] {
+/** Log lines of a step that is submitted at `asked`, adopted 0.1 s later, and has its wanted groups listed after `wantedAfter` seconds. */
+function stepLogLines (id: string, number: number, asked: number, wantedAfter: number | undefined, phases: object): string[] {
   const lines = [
     line(asked + 0.02, 'a/1', 'decided', 'step submitted', { step: id, failed: false, number, model: 'm', items: 3, outcome: 'accepted', tookMs: 20 }),
     line(asked + 0.1, 'b/1', 'decided', 'step adopted', { step: id, number, model: 'm', items: 3 }),
@@ -20,22 +20,22 @@
   return [...lines, line(asked + (wantedAfter ?? 12) + 0.3, 'c/1', 'decided', 'step end asked', { step: id, failed: false, outcome: 'ended' })]
 }
 
-const day = [
-  ...step('s1', 1, 0, 6, { payloads: 20, waiting: 0, running: 5700, scoring: 80, writing: 50, listing: 50 }),
-  ...step('s2', 2, 4, 6.1, { payloads: 20, waiting: 100, running: 5700, scoring: 80, writing: 50, listing: 50 }),
-  // The store is away when the last item is to be listed.
-  ...step('s3', 3, 8, 9, { payloads: 20, waiting: 0, running: 5700, scoring: 80, writing: 3050, listing: 50 }),
+const recorded = [
+  ...stepLogLines('s1', 1, 0, 6, { payloads: 20, waiting: 0, running: 5700, scoring: 80, writing: 50, listing: 50 }),
+  ...stepLogLines('s2', 2, 4, 6.1, { payloads: 20, waiting: 100, running: 5700, scoring: 80, writing: 50, listing: 50 }),
+  // The store is unavailable when the last item is to be listed.
+  ...stepLogLines('s3', 3, 8, 9, { payloads: 20, waiting: 0, running: 5700, scoring: 80, writing: 3050, listing: 50 }),
   line(14, 'b/1', 'alarm', 'store lost', { topic: 't' }),
   line(16.5, 'b/1', 'changed', 'store regained', { topic: 't', silentMs: 2500 }),
-  // A host that takes over adopts it again, and nothing of it was known to that host before.
-  ...step('s4', 4, 18, 8.5, { payloads: 20, waiting: 0, running: 2000, scoring: 80, writing: 50, listing: 50 }),
+  // Another host takes over and adopts the step again; that host has no earlier state of it.
+  ...stepLogLines('s4', 4, 18, 8.5, { payloads: 20, waiting: 0, running: 2000, scoring: 80, writing: 50, listing: 50 }),
   line(24.3, 'd/1', 'decided', 'step adopted', { step: 's4', number: 4, model: 'm', items: 1 }),
-  ...step('s5', 5, 24, undefined, {}),
+  ...stepLogLines('s5', 5, 24, undefined, {}),
   line(26, 'b/1', 'decided', 'run ended', { step: 's5', item: 'x', engine: 'e', end: 'broken', why: 'silent', failed: true }),
   line(30, 'c/1', 'decided', 'results read', { step: 's5', failed: true, after: 1, results: 0, why: 'stale', tookMs: 900 })
 ]
 
-describe('what steps lose', () => {
+describe('losses of steps', () => {
   let directory: string
   const file = (name: string, lines: readonly string[]): string => {
     const path = join(directory, name)
@@ -45,12 +45,12 @@
   beforeEach(() => { directory = mkdtempSync(join(tmpdir(), 'losses-')) })
   afterEach(() => { rmSync(directory, { recursive: true }) })
 
-  it('is ranked by the part of their time that went and by what happened meanwhile', async () => {
-    // A day ended with steps late, and whoever looked for the reason read some thousand lines by hand.
-    expect(await lossesFromFiles([file('a.log', day.slice(0, 9)), file('b.log', day.slice(9))])).to.deep.equal({
+  it('are ranked by the part of the time that was lost and by the disturbance', async () => {
+    // Without this ranking, finding the reason for late steps takes reading thousands of log lines by hand.
+    expect(await lossesFromFiles([file('a.log', recorded.slice(0, 9)), file('b.log', recorded.slice(9))])).to.deep.equal({
       ok: true,
       value: [
-        '3 of 5 steps late; a step each 4.0 s, 8.0 s later in all than at that pace',
+        '3 of 5 steps late; undisturbed interval between steps 4.0 s, total delay of steps 8.0 s',
         '     1   33%     1.5 s  writing, store lost',
         '     1   33%     1.0 s  former-holders, holder changed',
         '     1   33%     0.0 s  never, runs broke'
@@ -58,8 +58,8 @@
     })
   })
 
-  it('is told for one step in some lines before its story', async () => {
-    const story = await explainFromFiles('s4', [file('a.log', day)])
+  it('are summarized for a single step before its timeline', async () => {
+    const story = await explainFromFiles('s4', [file('a.log', recorded)])
     expect(story.ok && story.value.split('\n\n')[0]).to.equal([
       'step s4: number 4 of m, 3 items',
       '    0.020 s   accepted',
@@ -67,18 +67,18 @@
       '    6.300 s   adopted by d/1, 1 items open',
       '    1.000 s   first result listed: s4-first',
       '    8.500 s   wanted groups listed, due after 7.5 s; the last item was s4-last',
-      '              of that: accepting 20 ms, former-holders 6280 ms, payloads 20 ms, waiting 0 ms, running 2000 ms, scoring 80 ms, writing 50 ms, listing 50 ms',
+      '              breakdown: accepting 20 ms, former-holders 6280 ms, payloads 20 ms, waiting 0 ms, running 2000 ms, scoring 80 ms, writing 50 ms, listing 50 ms',
       '              1 of 3 results listed, 0 reads failed',
-      '    8.800 s   its end asked'
+      '    8.800 s   end requested'
     ].join('\n'))
-    const never = await explainFromFiles('s5', [file('b.log', day)])
+    const never = await explainFromFiles('s5', [file('b.log', recorded)])
     expect(never.ok && never.value).to.contain('wanted groups never listed').and.to.contain('1 reads failed')
   })
 
-  it('is not told from a log that ends within a line, and the place is; lines of killed hosts are passed over', async () => {
-    const cut = file('cut.log', [...day.slice(0, 3), (day[3] ?? '').slice(0, 50)])
+  it('are not computed from a log that ends within a line, whose position is reported; truncated lines of killed hosts are ignored', async () => {
+    const cut = file('cut.log', [...recorded.slice(0, 3), (recorded[3] ?? '').slice(0, 50)])
     expect(await lossesFromFiles([cut])).to.deep.include({ ok: false, code: 'malformed', message: `${cut}:4: the file ends within a line` })
-    const killed = file('killed.log', [...day.slice(0, 3), (day[3] ?? '').slice(0, 50), ...day.slice(4)])
+    const killed = file('killed.log', [...recorded.slice(0, 3), (recorded[3] ?? '').slice(0, 50), ...recorded.slice(4)])
     expect((await lossesFromFiles([killed])).ok).to.equal(true)
     expect(await lossesFromFiles([file('other.log', ['nothing', ''])])).to.deep.include({ ok: false, code: 'notFound', message: 'no line of 0 tells that a step was accepted' })
     expect(await lossesFromFiles([join(directory, 'absent.log')])).to.deep.include({ ok: false, code: 'notFound' })
--- a/test/core/fold/fold.test.ts
+++ b/test/core/fold/fold.test.ts
@@ -1,4 +1,4 @@
-/** The fold as a whole: the same on every host, whatever the log brings. */
+/** The fold of the control stream: all hosts reach the same state, whatever the log contains. */
 
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -11,22 +11,21 @@
 const createTarget = (name: string): ControlRecord => command({ verb: 'create', kind: 'target', name, properties: { pool: 'drafter', address: 'http://127.0.0.1:1', place: 'Abdali' } })
 
 describe('the fold', () => {
-  it('refuses a gap', () => {
-    expect(() => foldEntry(emptyState(), 3, encodeEnvelope([]))).to.throw('entry 3 where 0 is due')
+  it('throws if an entry is missing', () => {
+    expect(() => foldEntry(emptyState(), 3, encodeEnvelope([]))).to.throw('unexpected log entry 3: expected offset 0')
   })
 
-  const poison: readonly (readonly [string, string])[] = [
+  const unreadableEntries: readonly (readonly [string, string])[] = [
     ['not JSON', '{'],
     ['another version', JSON.stringify({ v: 2, records: [] })],
     ['an unknown kind', JSON.stringify({ v: 1, records: [{ kind: 'unheard-of', id: 'x', at: 1 }] })],
     ['a missing field', JSON.stringify({ v: 1, records: [{ kind: 'pull', id: 'x', at: 1 }] })],
     ['a name that all objects inherit', JSON.stringify({ v: 1, records: [{ ...submit('g', 1), group: '__proto__' }] })]
   ]
-  for (const [name, data] of poison) {
+  for (const [name, data] of unreadableEntries) {
     /*
-     * Symptom: every host stops at the same offset, and again after each restart.
-     * Sequence: one author writes a record that cannot be read.
-     * Cause: a reader that throws on it can never get past it.
+     * Guards against an unreadable record that stops every host at the same offset, again after
+     * each restart, because a reader that throws on it can never get past it.
      */
     it(`skips and counts a record with ${name}`, () => {
       const state = emptyState()
@@ -41,7 +40,7 @@
     expect(Object.keys(state.configuration.pool)).to.deep.equal(['drafter'])
   })
 
-  it('goes on from a checkpoint as if it had read everything', () => {
+  it('reaches the same state from a checkpoint as from the whole log', () => {
     const record = fc.constantFrom<ControlRecord>(
       createPool, createTarget('a'), createTarget('b'),
       command({ verb: 'create', kind: 'subscription', name: 'drafts', properties: { pool: 'drafter', trainer: 't' } }),
@@ -64,7 +63,7 @@
   })
 
   describe('commands', () => {
-    it('tells the operator who lost the race which revision beat him', () => {
+    it('reports the winning revision to the operator whose concurrent change is rejected', () => {
       const state = emptyState()
       fold(state, createPool)
       const [first, second] = fold(state,
@@ -74,24 +73,23 @@
       expect(second).to.deep.equal({ ok: false, code: 'revisionConflict', message: 'drafter is at revision 2, changed by layla', revision: 2 })
     })
 
-    it('gives a repeated command its first verdict', () => {
+    it('returns the first verdict for a repeated command', () => {
       const state = emptyState()
       expect(fold(state, createPool, createPool)).to.deep.equal([{ ok: true, value: 1 }, { ok: true, value: 1 }])
     })
 
     /*
-     * Symptom: two copies run under one licence.
-     * Sequence: two operators each take the last copy at the same time, through two hosts.
-     * Cause: both hosts see a free copy; only the order of the log can decide.
+     * Guards against two targets on one licence. Two operators take the last copy at the same time
+     * through two hosts, both of which see it as free, so only the order of the log can decide.
      */
-    it('gives the last licensed copy to one of two', () => {
+    it('gives the last licensed copy to only one of two targets', () => {
       const state = emptyState()
       fold(state, createPool)
       const codes = fold(state, createTarget('a'), createTarget('b')).map((result) => result.ok ? 'accepted' : result.code)
       expect(codes).to.deep.equal(['accepted', 'licenceExceeded'])
     })
 
-    it('never goes back to older weights', () => {
+    it('rejects a change to older weights', () => {
       const state = emptyState()
       fold(state, createPool, command({ verb: 'load', pool: 'drafter', version: 5 }))
       const [late] = fold(state, command({ verb: 'load', pool: 'drafter', version: 4 }))
@@ -99,7 +97,7 @@
       expect(state.configuration.pool.drafter?.properties.weights).to.equal(5)
     })
 
-    it('keeps who ordered what and what came of it', () => {
+    it('records the author and the verdict of each command in the audit trail', () => {
       const state = emptyState()
       fold(state, createPool, command({ verb: 'drain', target: 'nothing' }, 'omar'))
       expect(state.audit.map(({ by, verdict, revision }) => ({ by, verdict, revision }))).to.deep.equal([
@@ -111,13 +109,13 @@
   describe('leases', () => {
     const lease = (holder: string, ifEpoch: number): ControlRecord => ({ kind: 'lease', ...base(), shard: 's', holder, ifEpoch, durationMs: 1000 })
 
-    it('gives a successor a higher fencing number and a renewal the same', () => {
+    it('raises the fencing token for a new holder and keeps it on renewal', () => {
       const state = emptyState()
       const results = fold(state, lease('a', 0), lease('a', 1), lease('b', 2))
       expect(results).to.deep.equal([{ ok: true, value: 1 }, { ok: true, value: 1 }, { ok: true, value: 3 }])
     })
 
-    it('prefers a renewal that came before the take-over', () => {
+    it('rejects a take-over if the holder renewed first', () => {
       const state = emptyState()
       const [, , late] = fold(state, lease('a', 0), lease('a', 1), lease('b', 1))
       expect(late).to.include({ ok: false, code: 'revisionConflict', revision: 2 })
--- a/test/core/fold/subscriptions.test.ts
+++ b/test/core/fold/subscriptions.test.ts
@@ -1,4 +1,4 @@
-/** Exactly once and staleness: what the fold hands over. */
+/** Delivery of samples by the fold: exactly once, and within the staleness limit. */
 
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -13,12 +13,12 @@
   return batch.ok ? batch.value.groups.map(({ group }) => group) : [batch.code]
 }
 
-function filled (state: FoldState, group: string, version: number, count = 2): void {
+function addFilledGroup (state: FoldState, group: string, version: number, count = 2): void {
   fold(state, submit(group, count), samples(...Array.from({ length: count }, (_, index) => sampleOf(group, index, version))))
 }
 
-describe('handing samples over', () => {
-  it('hands a group over once all its slots are filled', () => {
+describe('delivery of samples', () => {
+  it('delivers a group once all its slots are filled', () => {
     const state = stateWithSubscription()
     fold(state, submit('g', 2), samples(sampleOf('g', 0, 1)))
     expect(fold(state, pull(0, 1)).map(batchOf)).to.deep.equal([[]])
@@ -34,34 +34,32 @@
   })
 
   /*
-   * Symptom: a trainer whose pull's answer was lost gets other samples when it asks again, and
-   * never sees the first ones.
-   * Sequence: pull, answer lost, the same pull again at another host.
-   * Cause: a host that answers by what it has handed out itself does not know the first pull.
+   * Guards against lost samples: the response to a pull is lost and the trainer repeats it at another
+   * host. A host that answers from its own deliveries does not know the first pull and returns other
+   * samples.
    */
-  it('gives the same batch to a repeated pull', () => {
+  it('returns the same batch for a repeated pull', () => {
     const state = stateWithSubscription()
-    filled(state, 'g', 1)
+    addFilledGroup(state, 'g', 1)
     const first = fold(state, pull(0, 1)).map(batchOf)
-    filled(state, 'h', 1)
+    addFilledGroup(state, 'h', 1)
     expect(fold(state, pull(0, 1)).map(batchOf)).to.deep.equal(first)
   })
 
-  it('acknowledges a batch by the next cursor and refuses older and unknown ones', () => {
+  it('acknowledges a batch by the next cursor and rejects older and unknown cursors', () => {
     const state = stateWithSubscription()
-    filled(state, 'g', 1)
-    filled(state, 'h', 1)
+    addFilledGroup(state, 'g', 1)
+    addFilledGroup(state, 'h', 1)
     expect(fold(state, pull(0, 1, 2), pull(1, 1, 2), pull(0, 1, 2), pull(5, 1, 2)).map(batchOf)).to.deep.equal([['g'], ['h'], ['cursorBehind'], ['cursorAhead']])
   })
 
   /*
-   * Symptom: a trainer is given a sample that is older than its bound.
-   * Sequence: batch handed over, its answer lost; new weights are published; the pull is repeated.
-   * Cause: repeating the old verdict judges by versions of before.
+   * Guards against stale samples: a batch is delivered but its response is lost, new weights are
+   * published, and the pull is repeated. Repeating the earlier decision would apply the old version.
    */
-  it('decides anew when newer weights are known', () => {
+  it('decides a repeated pull again when newer weights are known', () => {
     const state = stateWithSubscription(0)
-    filled(state, 'g', 1)
+    addFilledGroup(state, 'g', 1)
     expect(fold(state, pull(0, 1)).map(batchOf)).to.deep.equal([['g']])
     fold(state, command({ verb: 'load', pool: 'drafter', version: 2 }))
     expect(fold(state, pull(0, 1)).map(batchOf)).to.deep.equal([[]])
@@ -69,7 +67,7 @@
     expect(state.subscriptions.drafts?.rejected).to.equal(2)
   })
 
-  it('judges a sample by its oldest segment', () => {
+  it('determines the staleness of a sample by its oldest segment', () => {
     const state = stateWithSubscription(1)
     const mixed = { ...sampleOf('g', 0, 1), segments: [{ version: 1, from: 0, to: 5 }, { version: 3, from: 5, to: 9 }] }
     fold(state, submit('g', 1), samples(mixed))
@@ -78,24 +76,24 @@
 
   it('does not start an acknowledged group again when it is submitted again', () => {
     const state = stateWithSubscription()
-    filled(state, 'g', 1)
+    addFilledGroup(state, 'g', 1)
     fold(state, pull(0, 1), pull(1, 1))
     fold(state, submit('g', 2))
     expect(state.subscriptions.drafts?.groups).to.deep.equal({})
   })
 
-  it('refuses a group of the same id with other contents', () => {
+  it('rejects a group with a known id and different contents', () => {
     const state = stateWithSubscription()
     fold(state, submit('g', 2))
     expect(fold(state, { ...submit('g', 2), digest: 'other' }).map(batchOf)).to.deep.equal([['groupMismatch']])
   })
 
   /*
-   * The whole of it at once: samples of several versions, doubled records, pulls whose answers are
-   * lost, weights that change, and a checkpoint between any two records. A trainer that goes on only
-   * from answers it has seen must get every slot once and none too old.
+   * Combines samples of several versions, duplicate records, pulls whose responses are lost, weight
+   * changes, and checkpoints between any two records. A trainer that continues only from responses
+   * that it received must get every slot exactly once and none too old.
    */
-  it('delivers each slot once within its bound, whatever is lost in between', () => {
+  it('delivers each slot exactly once within the staleness limit, whatever is lost in between', () => {
     const groups = ['g0', 'g1', 'g2', 'g3']
     const step = fc.oneof(
       fc.record({ type: fc.constant('sample' as const), group: fc.constantFrom(...groups), index: fc.nat(1), lag: fc.nat(2), twice: fc.boolean() }),
@@ -107,9 +105,9 @@
       let state = stateWithSubscription(1)
       let newest = 1
       let cursor = 0
-      const taken = new Map<string, number>()
+      const deliveries = new Map<string, number>()
       fold(state, ...groups.map((group) => submit(group, 2)))
-      const doPull = (maximum: number, lost: boolean): number => {
+      const pullBatch = (maximum: number, lost: boolean): number => {
         const [result] = fold(state, pull(cursor, newest, maximum))
         const batch = result as Result<Batch>
         if (!batch.ok) throw new Error(batch.code)
@@ -117,7 +115,7 @@
           for (const slot of slots) expect(Math.min(...slot.segments.map(({ version }) => version))).to.be.at.least(newest - 1)
         }
         if (lost) return batch.value.groups.length
-        for (const { group, slots } of batch.value.groups) slots.forEach((_, index) => { taken.set(`${group}/${index}`, (taken.get(`${group}/${index}`) ?? 0) + 1) })
+        for (const { group, slots } of batch.value.groups) slots.forEach((_, index) => { deliveries.set(`${group}/${index}`, (deliveries.get(`${group}/${index}`) ?? 0) + 1) })
         cursor = batch.value.nextCursor
         return batch.value.groups.length
       }
@@ -128,7 +126,7 @@
         } else if (step.type === 'weights') {
           fold(state, command({ verb: 'load', pool: 'drafter', version: ++newest }))
         } else if (step.type === 'pull') {
-          doPull(step.maximum, step.lost)
+          pullBatch(step.maximum, step.lost)
         } else {
           const restored = restore(snapshot(state))
           if (restored.ok) state = restored.value
@@ -136,9 +134,9 @@
       }
       for (let round = 0; round < 8; round++) {
         fold(state, samples(...groups.flatMap((group) => [sampleOf(group, 0, newest), sampleOf(group, 1, newest)])))
-        doPull(100, false)
+        pullBatch(100, false)
       }
-      expect([...taken.values()]).to.deep.equal(Array.from({ length: 8 }, () => 1))
+      expect([...deliveries.values()]).to.deep.equal(Array.from({ length: 8 }, () => 1))
     }), { seed: 11, numRuns: 400 })
   })
 })
--- a/test/core/identity/access.test.ts
+++ b/test/core/identity/access.test.ts
@@ -1,15 +1,15 @@
 import { expect } from 'chai'
 import { asKeyDigest, asWorkspaceName } from '../../../src/base/common/ids.ts'
-import type { AccessQuestion } from '../../../src/core/common/identity/access.ts'
+import type { AccessCheck } from '../../../src/core/common/identity/access.ts'
 import { decideAccess } from '../../../src/core/common/identity/access.ts'
 import { elapsedMs, isWithin } from '../../../src/base/common/instant.ts'
-import { WorkspaceKeys, findClash } from '../../../src/core/common/identity/workspaces.ts'
+import { WorkspaceKeys, findConflict } from '../../../src/core/common/identity/workspaces.ts'
 
 const valid = asKeyDigest('valid')
 const acme = { name: asWorkspaceName('acme'), keys: [valid], priority: 1 }
 const READ_AT = { monotonic: 10_000, wall: 1_000_000 }
 
-function ask (details: Partial<AccessQuestion> & { readonly afterMs?: number, readonly suspendedMs?: number } = {}): string {
+function decide (details: Partial<AccessCheck> & { readonly afterMs?: number, readonly suspendedMs?: number } = {}): string {
   const { afterMs = 0, suspendedMs = 0, ...question } = details
   const access = decideAccess({
     key: { type: 'key', digest: valid },
@@ -24,47 +24,51 @@
 }
 
 describe('access by keys', () => {
-  it('is asked for only where the configuration has workspaces and the route is not public', () => {
-    expect(ask({ keys: undefined, key: { type: 'none' } })).to.equal('granted open')
-    expect(ask({ isPublic: true, key: { type: 'none' } })).to.equal('granted anonymous')
-    expect(ask()).to.equal('granted workspace')
+  it('requires a key only if workspaces are configured and the route is not public', () => {
+    expect(decide({ keys: undefined, key: { type: 'none' } })).to.equal('granted open')
+    expect(decide({ isPublic: true, key: { type: 'none' } })).to.equal('granted anonymous')
+    expect(decide()).to.equal('granted workspace')
   })
 
   it('is denied without a usable key', () => {
-    expect([{ type: 'none' } as const, { type: 'unusable', why: 'a request carries one key' } as const].map((key) => ask({ key }))).toMatchSnapshot()
+    expect([{ type: 'none' } as const, { type: 'unusable', why: 'a request carries one key' } as const].map((key) => decide({ key }))).toMatchSnapshot()
   })
 
-  it('ends with the time for which a removed key may be accepted: a host that is cut off served it for as long as the cut lasted', () => {
-    expect([0, 4800, 4901, 60_000].map((afterMs) => ask({ afterMs }))).toMatchSnapshot()
+  // Guards against a partitioned host that accepts a revoked key for the whole duration of the partition.
+  it('ends when the last read is older than the revocation bound', () => {
+    expect([0, 4800, 4901, 60_000].map((afterMs) => decide({ afterMs }))).toMatchSnapshot()
   })
 
-  it('ends while the machine is suspended: the monotonic clock does not count that time, and requests wait in the sockets', () => {
-    expect(ask({ suspendedMs: 6000 })).to.match(/^unsure/)
-    expect(ask({ suspendedMs: 200 })).to.match(/^unsure/)
-    expect(ask({ suspendedMs: 20 })).to.equal('granted workspace')
+  // The monotonic clock does not count the time of a suspension, while requests wait in the socket buffers.
+  it('ends while the machine is suspended', () => {
+    expect(decide({ suspendedMs: 6000 })).to.match(/^unsure/)
+    expect(decide({ suspendedMs: 200 })).to.match(/^unsure/)
+    expect(decide({ suspendedMs: 20 })).to.equal('granted workspace')
   })
 
-  it('is not sure where the time of day was set back: a suspension could hide behind it', () => {
-    expect(ask({ afterMs: 1000, suspendedMs: -2000 })).to.match(/^unsure/)
+  // A wall clock that was set back could hide a suspension.
+  it('is unsure if the wall clock was set back', () => {
+    expect(decide({ afterMs: 1000, suspendedMs: -2000 })).to.match(/^unsure/)
   })
 
-  it('waits for a first complete read', () => {
-    expect(ask({ readAt: undefined })).to.match(/^unsure/)
+  it('is unsure before the first complete read', () => {
+    expect(decide({ readAt: undefined })).to.match(/^unsure/)
   })
 
-  it('holds at any age where no bound is set', () => {
-    expect(ask({ afterMs: 600_000, revocationMs: undefined })).to.equal('granted workspace')
+  it('is granted at any age of the read if no bound is set', () => {
+    expect(decide({ afterMs: 600_000, revocationMs: undefined })).to.equal('granted workspace')
   })
 
-  it('is denied to an unknown key only by fresh knowledge: a key that was added a moment ago was rejected', () => {
+  // Guards against the rejection of a key that was added a moment ago.
+  it('is denied to an unknown key only by a recent read', () => {
     const key = { type: 'key', digest: asKeyDigest('unknown') } as const
-    expect([0, 250, 251, 60_000].map((afterMs) => ask({ key, afterMs }))).toMatchSnapshot()
-    expect(ask({ key, suspendedMs: 1000 })).to.match(/^unsure/)
+    expect([0, 250, 251, 60_000].map((afterMs) => decide({ key, afterMs }))).toMatchSnapshot()
+    expect(decide({ key, suspendedMs: 1000 })).to.match(/^unsure/)
   })
 })
 
-describe('the age of knowledge', () => {
-  it('is not told by clocks that disagree', () => {
+describe('the age of a read', () => {
+  it('is infinite if the monotonic and the wall clock disagree', () => {
     const since = { monotonic: 0, wall: 0 }
     expect(elapsedMs(since, { monotonic: 50, wall: 60 })).to.equal(60)
     expect(elapsedMs(since, { monotonic: 50, wall: 500 })).to.equal(Number.POSITIVE_INFINITY)
@@ -75,8 +79,8 @@
 
 describe('workspaces', () => {
   it('cannot share a key or a name', () => {
-    expect(findClash([acme, { ...acme, name: asWorkspaceName('other') }])).to.equal('workspaces acme and other have a key in common')
-    expect(findClash([acme, acme])).to.equal('workspace acme is defined twice')
-    expect(findClash([acme, { name: asWorkspaceName('other'), keys: [], priority: undefined }])).to.equal(undefined)
+    expect(findConflict([acme, { ...acme, name: asWorkspaceName('other') }])).to.equal('workspaces acme and other have a key in common')
+    expect(findConflict([acme, acme])).to.equal('workspace acme is defined twice')
+    expect(findConflict([acme, { name: asWorkspaceName('other'), keys: [], priority: undefined }])).to.equal(undefined)
   })
 })
--- a/test/core/language/parser.test.ts
+++ b/test/core/language/parser.test.ts
@@ -1,4 +1,4 @@
-/** The query and command language: what each statement means, and where each mistake stands. */
+/** The query and command language: the meaning of each statement, and the position of each error. */
 
 import { readFileSync } from 'node:fs'
 import { expect } from 'chai'
@@ -22,7 +22,7 @@
   'load weights 42 on pool drafter'
 ]
 
-const mistakes = [
+const invalidStatements = [
   '', 'show', 'show cats', 'show samples', 'show targets where', 'show targets where place', 'show targets were x = 1',
   'show targets where place = "Abdali', 'create pool', 'create cat x', 'create pool p size 3', 'create pool p copies 1 copies 2',
   'set lane desk priority 2 if revision > 3', 'set lane desk priority 2 when revision = 3', 'drain pool p', 'load weights x on pool p', 'load bias 3 on pool p',
@@ -30,18 +30,18 @@
 ]
 
 describe('the language', () => {
-  it('understands', () => {
+  it('parses valid statements', () => {
     expect(statements.map((text) => ({ text, parsed: parseStatement(text) }))).toMatchSnapshot()
   })
 
-  it('points at the column of each mistake', () => {
-    expect(mistakes.map((text) => {
+  it('reports the column of each error', () => {
+    expect(invalidStatements.map((text) => {
       const parsed = parseStatement(text)
       return { text, parsed: parsed.ok ? 'understood' : { code: parsed.code, column: parsed.column, message: parsed.message.split('\n')[0] } }
     })).toMatchSnapshot()
   })
 
-  it('answers anything at all with a statement or a numbered failure', () => {
+  it('returns a statement or a failure with a code for any input', () => {
     const words = fc.array(fc.oneof(fc.constantFrom('show', 'targets', 'where', '=', '"x"', '5', 'and', 'create', 'pool', 'if', 'revision', '<='), fc.string()), { maxLength: 12 })
     fc.assert(fc.property(words, (parts) => {
       const parsed = parseStatement(parts.join(' '))
@@ -49,7 +49,7 @@
     }), { seed: 2, numRuns: 1000 })
   })
 
-  it('filters rows by all conditions; a missing field meets only !=', () => {
+  it('filters rows by all conditions; a missing field matches only !=', () => {
     const rows = [{ name: 'a', weights: 40 }, { name: 'b', weights: 41 }, { name: 'c', weights: null }]
     const names = (where: string): unknown[] => {
       const parsed = parseStatement(`show targets where ${where}`)
@@ -59,7 +59,7 @@
   })
 
   for (const file of ['amman', 'tavolario']) {
-    it(`is that of examples/${file}.commands, and every order there is accepted`, () => {
+    it(`accepts every command of examples/${file}.commands`, () => {
       const configuration = emptyConfiguration()
       const lines = readFileSync(`examples/${file}.commands`, 'utf8').split('\n').filter((line) => line !== '' && !line.startsWith('#'))
       lines.forEach((line, index) => {
