--- a/test/core/requests/policies.test.ts
+++ b/test/core/requests/policies.test.ts
@@ -4,12 +4,12 @@
 import { asHostId, asPlace } from '../../../src/base/common/ids.ts'
 import type { ResultCode } from '../../../src/base/common/resultCode.ts'
 import { failure } from '../../../src/base/common/resultCode.ts'
-import { Freshness } from '../../../src/core/common/fold/freshness.ts'
+import { FreshnessTracker } from '../../../src/core/common/fold/freshness.ts'
 import { emptySubscription } from '../../../src/core/common/fold/subscriptions.ts'
 import type { SubscriptionState } from '../../../src/core/common/fold/subscriptions.ts'
 import { RetryBudget } from '../../../src/core/common/requests/retryBudget.ts'
 import { mayRetry, jitterRetryAfter } from '../../../src/core/common/requests/retryPolicy.ts'
-import { homeOf } from '../../../src/core/common/routing/rendezvous.ts'
+import { findHome } from '../../../src/core/common/routing/rendezvous.ts'
 import { RolloutProgress } from '../../../src/core/common/samples/rollout.ts'
 import { planRollouts } from '../../../src/core/common/samples/rolloutPlan.ts'
 import { createHash } from '../../../src/adapters/node/xxHash.ts'
@@ -54,11 +54,11 @@
 })
 
 describe('freshness', () => {
-  const fresh = (): Freshness => new Freshness({ boundMs: 1000, tickMs: 100 }, 0)
+  const fresh = (): FreshnessTracker => new FreshnessTracker({ maxAgeMs: 1000, tickIntervalMs: 100 }, 0)
 
   it('ends when there was no contact within the bound', () => {
     const state = fresh()
-    state.contact(0)
+    state.recordContact(0)
     state.tick(500)
     expect(state.isFresh(1000)).to.equal(true)
     state.tick(1000)
@@ -69,12 +69,12 @@
   // finds the old answer in its socket, which it dates by the time at which it is handled.
   it('is not restored by an answer to a query sent before a freeze', () => {
     const state = fresh()
-    state.contact(0)
+    state.recordContact(0)
     expect(state.isFresh(700)).to.equal(false)
     expect(state.tick(700)).to.equal(true)
-    state.contact(90)
+    state.recordContact(90)
     expect(state.isFresh(700)).to.equal(false)
-    state.contact(701)
+    state.recordContact(701)
     expect(state.isFresh(702)).to.equal(true)
   })
 })
@@ -86,12 +86,12 @@
     const keys = Array.from({ length: 300 }, (_, index) => `key-${index}`)
     const gone = hosts[4]
     for (const key of keys) {
-      const before = homeOf(hash, key, hosts)
-      const after = homeOf(hash, key, hosts.filter((host) => host !== gone))
+      const before = findHome(hash, key, hosts)
+      const after = findHome(hash, key, hosts.filter((host) => host !== gone))
       if (before !== gone) expect(after).to.equal(before)
-      expect(homeOf(hash, key, hosts, asPlace('place-1'))?.place).to.equal('place-1')
+      expect(findHome(hash, key, hosts, asPlace('place-1'))?.place).to.equal('place-1')
     }
-    const loads = hosts.map((host) => keys.filter((key) => homeOf(hash, key, hosts) === host).length)
+    const loads = hosts.map((host) => keys.filter((key) => findHome(hash, key, hosts) === host).length)
     expect(Math.max(...loads)).to.be.below(50)
   })
 })
@@ -133,6 +133,6 @@
     for (const [text, tokens, version] of [['a', 1, 3], ['bc', 2, 3], ['d', 1, 4], ['', 0, 5], ['e', 1, 3]] as const) progress.add({ text, tokens, version })
     expect(progress.text).to.equal('abcde')
     expect(progress.segments).to.deep.equal([{ version: 3, from: 0, to: 3 }, { version: 4, from: 3, to: 4 }, { version: 3, from: 4, to: 5 }])
-    expect(progress.oldest).to.equal(3)
+    expect(progress.oldestVersion).to.equal(3)
   })
 })
--- a/test/core/routes/routes.test.ts
+++ b/test/core/routes/routes.test.ts
@@ -1,7 +1,7 @@
-/** Routes, the choice of a target, and what an answer means. */
+/** Route table, selection of a target, and classification of answers. */
 
 import { expect } from 'chai'
-import { judgeAnswer } from '../../../src/core/common/routes/answerVerdict.ts'
+import { classifyAnswer } from '../../../src/core/common/routes/answerVerdict.ts'
 import type { Route, RouteConfiguration } from '../../../src/core/common/routes/routeConfiguration.ts'
 import { pickDestination, RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import type { TargetLoad } from '../../../src/core/common/routes/targetChoice.ts'
@@ -18,7 +18,7 @@
     { host: 'calls.example', path: '/a', expected: undefined },
     { host: 'nowhere.example', path: '/a/b/', expected: undefined }
   ]) {
-    it(`sends ${host}${path} to ${expected ?? 'nothing'}`, () => { expect(table.find(host, path)?.name).to.equal(expected) })
+    it(`maps ${host}${path} to ${expected ?? 'no route'}`, () => { expect(table.findRoute(host, path)?.name).to.equal(expected) })
   }
 
   it('picks destinations by weight', () => {
@@ -28,24 +28,24 @@
   })
 })
 
-describe('the choice of a target', () => {
+describe('the selection of a target', () => {
   const load = (id: string, details: Partial<TargetLoad> = {}): TargetLoad => ({ definition: targetDefinition({ id }), inFlight: 0, report: undefined, reportAgeMs: Number.POSITIVE_INFINITY, answerMs: 30, suspect: false, ...details })
   const chosen = (loads: TargetLoad[]): string | undefined => chooseTarget(loads, 'here', 0)?.definition.id
 
   for (const { name, loads, expected } of [
-    { name: 'takes the one with fewer requests', loads: [load('a', { inFlight: 4 }), load('b', { inFlight: 1 })], expected: 'b' },
-    { name: 'takes the faster one', loads: [load('a', { answerMs: 90 }), load('b', { answerMs: 30 })], expected: 'b' },
-    { name: 'believes a fresh report of a queue', loads: [load('a', { report: { running: 6, waiting: 9, slots: 6 }, reportAgeMs: 50 }), load('b', { inFlight: 2 })], expected: 'b' },
-    { name: 'forgets an old report', loads: [load('a', { report: { running: 6, waiting: 9, slots: 6 }, reportAgeMs: 5000 }), load('b', { inFlight: 2 })], expected: 'a' },
-    { name: 'asks a suspect last', loads: [load('a', { suspect: true }), load('b', { inFlight: 30 })], expected: 'b' },
-    { name: 'asks a suspect if there is no other', loads: [load('a', { suspect: true })], expected: 'a' },
-    { name: 'stays in its place if all else is alike', loads: [load('a', { definition: targetDefinition({ id: 'a', place: 'there' }) }), load('b')], expected: 'b' }
+    { name: 'prefers the target with fewer requests in flight', loads: [load('a', { inFlight: 4 }), load('b', { inFlight: 1 })], expected: 'b' },
+    { name: 'prefers the faster target', loads: [load('a', { answerMs: 90 }), load('b', { answerMs: 30 })], expected: 'b' },
+    { name: 'uses a recent report of a queue', loads: [load('a', { report: { running: 6, waiting: 9, slots: 6 }, reportAgeMs: 50 }), load('b', { inFlight: 2 })], expected: 'b' },
+    { name: 'ignores an old report', loads: [load('a', { report: { running: 6, waiting: 9, slots: 6 }, reportAgeMs: 5000 }), load('b', { inFlight: 2 })], expected: 'a' },
+    { name: 'avoids a suspect target while another is left', loads: [load('a', { suspect: true }), load('b', { inFlight: 30 })], expected: 'b' },
+    { name: 'uses a suspect target if no other is left', loads: [load('a', { suspect: true })], expected: 'a' },
+    { name: 'prefers its own failure domain if all else is equal', loads: [load('a', { definition: targetDefinition({ id: 'a', place: 'there' }) }), load('b')], expected: 'b' }
   ]) {
     it(name, () => { expect(chosen(loads)).to.equal(expected) })
   }
 
-  it('spreads a burst by what it has sent, though all reports are old', () => {
-    // Load: forty requests at once to four targets of six slots; without own counts all would go to one.
+  it('spreads a burst by its own requests in flight when all reports are old', () => {
+    // Load: forty concurrent requests to four targets with six slots each. Without the host's own counts all would go to one target.
     const loads = ['a', 'b', 'c', 'd'].map((id) => ({ ...load(id) }))
     for (let request = 0; request < 40; request++) {
       const target = chooseTarget(loads, 'here', 0)
@@ -55,7 +55,7 @@
   })
 })
 
-describe('the verdict on an answer', () => {
+describe('the classification of an answer', () => {
   const head = { status: 200, requestId: 'r', seal: 'x', notRun: false, load: undefined, version: undefined }
 
   for (const { name, answer, expected } of [
@@ -65,10 +65,10 @@
     { name: "another request's refusal", answer: { ...head, requestId: 'q', notRun: true, status: 503 }, expected: 'unusable' },
     { name: 'an answer without a seal', answer: { ...head, seal: undefined }, expected: 'unusable' },
     { name: 'a refusal', answer: { ...head, status: 503, seal: undefined, notRun: true }, expected: 'not-run' },
-    { name: 'a 503 that does not say that it was not run', answer: { ...head, status: 503, seal: undefined }, expected: 'unusable' },
-    { name: "the target's own failure", answer: { ...head, status: 500 }, expected: 'target-failed' },
-    { name: "the target's own rejection", answer: { ...head, status: 404 }, expected: 'answer' }
+    { name: 'a 503 that does not state that the request was not run', answer: { ...head, status: 503, seal: undefined }, expected: 'unusable' },
+    { name: 'a failure of the target itself', answer: { ...head, status: 500 }, expected: 'target-failed' },
+    { name: 'a rejection by the target itself', answer: { ...head, status: 404 }, expected: 'answer' }
   ] as const) {
-    it(`of ${name} is ${expected}`, () => { expect(judgeAnswer(answer, 'r')).to.equal(expected) })
+    it(`classifies ${name} as ${expected}`, () => { expect(classifyAnswer(answer, 'r')).to.equal(expected) })
   }
 })
--- a/tools/days/drawFailures.ts
+++ b/tools/days/drawFailures.ts
@@ -10,7 +10,7 @@
 import { hideBin } from 'yargs/helpers'
 import { readLine } from '../../src/commandLine/node/explainCommand.ts'
 import type { LogLine } from '../../src/core/common/explanation/explanation.ts'
-import { explain, formatStory } from '../../src/core/common/explanation/explanation.ts'
+import { explain, formatTimeline } from '../../src/core/common/explanation/explanation.ts'
 
 /** Lines of a story that are printed, at most: a step's is long, and what failed stands near its id. */
 const STORY_LINES = 25
@@ -40,5 +40,5 @@
   const story = explain(lines, id)
   const about = story.findIndex((line) => line === failures.get(id))
   const from = Math.max(0, Math.min(about - STORY_LINES / 2, story.length - STORY_LINES))
-  process.stdout.write(`\n${drawn + 1}. ${id}: ${failures.get(id)?.what ?? ''}\n${formatStory(story.slice(from, from + STORY_LINES))}\n`)
+  process.stdout.write(`\n${drawn + 1}. ${id}: ${failures.get(id)?.what ?? ''}\n${formatTimeline(story.slice(from, from + STORY_LINES))}\n`)
 }
