--- a/src/actors/common/log/appender.ts
+++ b/src/actors/common/log/appender.ts
@@ -1,10 +1,10 @@
 /**
- * Appends records to the control stream, many in one entry (group commit), and tells their authors
- * what the fold decided. The verdict of a record is read back from the log, never taken from the
- * append's answer: that answer can be lost after the record has taken effect.
+ * Appends records to the control stream, many in one entry (group commit), and returns the verdict
+ * of the fold to the callers. The verdict of a record is read back from the log and never derived
+ * from the answer to the append, as that answer can be lost after the record has taken effect.
  *
- * Records carry ids and are harmless when appended twice, so a batch whose answer was lost is
- * appended again until its verdicts are seen.
+ * Records carry ids and are idempotent, so a batch whose answer was lost is appended again until its
+ * verdicts have been read.
  */
 
 import type { Disposable } from '../../../base/common/lifecycle.ts'
@@ -23,36 +23,36 @@
 
 export interface AppenderSettings {
   readonly batchDelayMs: number
-  /** Records waiting, at most. */
+  /** Maximum number of records without a verdict. */
   readonly queue: number
 }
 
-interface Pending {
+interface PendingRecord {
   readonly record: ControlRecord
-  /** True while an append with it is under way. */
+  /** Whether an append that contains the record is in progress. */
   inFlight: boolean
-  /** True once an append with it may have taken effect. */
-  uncertain: boolean
-  /** Whether it is kept until the log takes it. */
-  readonly lasting: boolean
+  /** Whether an earlier append that contained the record may have taken effect. */
+  mayHaveTakenEffect: boolean
+  /** Whether the record is retried until the log accepts it. */
+  readonly hasNoTimeout: boolean
   settled: boolean
   readonly settle: (result: Result<Verdict>) => void
   timer?: Disposable
 }
 
 type Message =
-  | { readonly type: 'add', readonly pending: Pending, readonly timeoutMs: number | undefined }
+  | { readonly type: 'add', readonly pending: PendingRecord, readonly timeoutMs: number | undefined }
   | { readonly type: 'flush' }
-  | { readonly type: 'appended', readonly batch: readonly Pending[], readonly result: Result<number> }
+  | { readonly type: 'appended', readonly batch: readonly PendingRecord[], readonly result: Result<number> }
   | { readonly type: 'verdict', readonly verdict: Verdict }
-  | { readonly type: 'late', readonly pending: Pending }
+  | { readonly type: 'late', readonly pending: PendingRecord }
 
-/** Entries larger than this are cut, in characters. */
-const MAXIMUM_BATCH_CHARACTERS = 200_000
-const MAXIMUM_BATCH_RECORDS = 500
-const RETRY_MS = 200
-/** An appended record whose verdict has not been read by then is appended again, in milliseconds. */
-const REPEAT_MS = 3000
+/** Size of an entry beyond which further records go into the next entry. */
+const MAX_BATCH_CHARACTERS = 200_000
+const MAX_BATCH_RECORDS = 500
+const RETRY_DELAY_MS = 200
+/** Time after which an appended record is appended again if its verdict has not been read. */
+const REAPPEND_DELAY_MS = 3000
 
 export interface AppenderServices {
   readonly system: TaskSystem
@@ -63,10 +63,10 @@
 }
 
 export class Appender extends Task<Message> {
-  private readonly queue: Pending[] = []
-  private readonly waiting = new Map<string, Pending>()
-  private appending = false
-  private flushDue = false
+  private readonly queue: PendingRecord[] = []
+  private readonly waiting = new Map<string, PendingRecord>()
+  private isAppending = false
+  private isFlushScheduled = false
 
   constructor (private readonly services: AppenderServices, private readonly settings: AppenderSettings) {
     super(services.system, 'appender', services.metrics)
@@ -76,39 +76,39 @@
     }))
   }
 
-  /** Records that have no verdict yet. */
+  /** Number of records without a verdict. */
   get backlog (): number {
     return this.waiting.size
   }
 
-  get full (): boolean {
+  get isFull (): boolean {
     return this.waiting.size >= this.settings.queue
   }
 
   /**
-   * Appends a record and waits for its verdict; fails at once while the log is known to be down.
-   * After the timeout the result is `logUnavailable` if the record was surely not appended, else
-   * `commandUnknown`: it may still take effect.
+   * Appends a record and waits for its verdict. Fails immediately while the log is known to be
+   * unavailable. After the timeout it fails with `logUnavailable` if the record was not appended, and
+   * with `commandUnknown` if it may still take effect.
    */
   async decide (record: ControlRecord, timeoutMs: number): Promise<Result<Verdict>> {
-    if (!this.services.fold.logAnswers) return failure('logUnavailable', 'the log does not answer', { retryAfterMs: 1000 })
+    if (!this.services.fold.isLogAvailable) return failure('logUnavailable', 'the log does not answer', { retryAfterMs: 1000 })
     return await this.add(record, timeoutMs)
   }
 
-  /** Appends a record however long the log is away; gives up only if the queue is full. */
+  /** Appends a record, retrying for as long as the log is unavailable; fails only if the queue is full. */
   async persist (record: ControlRecord): Promise<Result<Verdict>> {
     return await this.add(record, undefined)
   }
 
   private async add (record: ControlRecord, timeoutMs: number | undefined): Promise<Result<Verdict>> {
-    if (this.full) {
+    if (this.isFull) {
       this.services.metrics.count('log.queue_full')
-      return failure('logUnavailable', 'too many records wait for the log', { retryAfterMs: 1000 })
+      return failure('logUnavailable', `${this.waiting.size} records are already waiting for the log`, { retryAfterMs: 1000 })
     }
     return await new Promise((resolve) => {
-      const pending: Pending = { record, inFlight: false, uncertain: false, lasting: timeoutMs === undefined, settled: false, settle: resolve }
+      const pending: PendingRecord = { record, inFlight: false, mayHaveTakenEffect: false, hasNoTimeout: timeoutMs === undefined, settled: false, settle: resolve }
       this.waiting.set(record.id, pending)
-      this.services.fold.hurry()
+      this.services.fold.endPause()
       this.tell({ type: 'add', pending, timeoutMs })
     })
   }
@@ -116,41 +116,41 @@
   protected override receive (message: Message): void {
     switch (message.type) {
       case 'add': this.enqueue(message.pending, message.timeoutMs); break
-      case 'flush': this.flushDue = false; this.flush(); break
-      case 'appended': this.appended(message.batch, message.result); break
+      case 'flush': this.isFlushScheduled = false; this.flush(); break
+      case 'appended': this.handleAppendResult(message.batch, message.result); break
       case 'verdict': this.settle(message.verdict.record.id, { ok: true, value: message.verdict }); break
-      case 'late': this.late(message.pending); break
+      case 'late': this.handleTimeout(message.pending); break
       default: unreachable(message)
     }
   }
 
-  private enqueue (pending: Pending, timeoutMs: number | undefined): void {
+  private enqueue (pending: PendingRecord, timeoutMs: number | undefined): void {
     this.queue.push(pending)
     if (timeoutMs !== undefined) pending.timer = this.services.clock.after(timeoutMs, () => { this.tell({ type: 'late', pending }) })
-    this.flushSoon(this.settings.batchDelayMs)
+    this.scheduleFlush(this.settings.batchDelayMs)
   }
 
-  private flushSoon (delayMs: number): void {
-    if (this.flushDue || this.appending) return
-    this.flushDue = true
+  private scheduleFlush (delayMs: number): void {
+    if (this.isFlushScheduled || this.isAppending) return
+    this.isFlushScheduled = true
     this.services.clock.after(delayMs, () => { this.tell({ type: 'flush' }) })
   }
 
   private flush (): void {
-    if (this.appending) return
+    if (this.isAppending) return
     const batch = this.takeBatch()
     if (batch.length === 0) return
-    this.appending = true
+    this.isAppending = true
     for (const pending of batch) pending.inFlight = true
     const data = encodeEnvelope(batch.map(({ record }) => record))
     this.services.metrics.count('log.appends')
     this.services.log.append('control', data).then((result) => { this.tell({ type: 'appended', batch, result }) })
   }
 
-  private takeBatch (): Pending[] {
-    const batch: Pending[] = []
+  private takeBatch (): PendingRecord[] {
+    const batch: PendingRecord[] = []
     let characters = 0
-    while (batch.length < MAXIMUM_BATCH_RECORDS && characters < MAXIMUM_BATCH_CHARACTERS) {
+    while (batch.length < MAX_BATCH_RECORDS && characters < MAX_BATCH_CHARACTERS) {
       const next = this.queue.shift()
       if (next === undefined) break
       if (next.settled) continue
@@ -160,45 +160,45 @@
     return batch
   }
 
-  private appended (batch: readonly Pending[], result: Result<number>): void {
-    this.appending = false
-    const refused = !result.ok && result.code === 'logUnavailable'
+  private handleAppendResult (batch: readonly PendingRecord[], result: Result<number>): void {
+    this.isAppending = false
+    const isRefused = !result.ok && result.code === 'logUnavailable'
     for (const pending of batch) {
       pending.inFlight = false
-      pending.uncertain ||= !refused
+      pending.mayHaveTakenEffect ||= !isRefused
     }
-    if (refused && result.retryAfterMs === undefined) this.refuseWaiting(result.message)
-    const open = batch.filter((pending) => !pending.settled)
+    if (isRefused && result.retryAfterMs === undefined) this.failWaiting(result.message)
+    const unsettled = batch.filter((pending) => !pending.settled)
     if (result.ok) {
-      this.services.clock.after(REPEAT_MS, () => { this.repeat(open) })
+      this.services.clock.after(REAPPEND_DELAY_MS, () => { this.reappend(unsettled) })
     } else {
       this.services.metrics.count('log.append_failed')
-      this.queue.unshift(...open)
+      this.queue.unshift(...unsettled)
     }
-    if (this.queue.length > 0) this.flushSoon(result.ok ? 0 : RETRY_MS)
+    if (this.queue.length > 0) this.scheduleFlush(result.ok ? 0 : RETRY_DELAY_MS)
   }
 
-  /** A log that refuses is down: whoever waits for a verdict hears so now and not at its deadline. */
-  private refuseWaiting (message: string): void {
+  /** Fails the waiting records immediately instead of at their timeouts, as a log that refuses an append is unavailable. */
+  private failWaiting (message: string): void {
     for (const pending of [...this.waiting.values()]) {
-      if (!pending.lasting && !pending.uncertain && !pending.inFlight) {
+      if (!pending.hasNoTimeout && !pending.mayHaveTakenEffect && !pending.inFlight) {
         this.settle(pending.record.id, failure('logUnavailable', message, { retryAfterMs: 1000 }))
       }
     }
   }
 
-  /** An appended record whose verdict does not come back may have been lost by the log. */
-  private repeat (batch: readonly Pending[]): void {
-    const open = batch.filter((pending) => !pending.settled)
-    if (open.length === 0) return
-    this.services.metrics.count('log.repeated', open.length)
-    this.queue.push(...open)
-    this.flushSoon(0)
+  /** Appends records again whose verdicts have not been read, as the log may have lost them. */
+  private reappend (batch: readonly PendingRecord[]): void {
+    const unsettled = batch.filter((pending) => !pending.settled)
+    if (unsettled.length === 0) return
+    this.services.metrics.count('log.repeated', unsettled.length)
+    this.queue.push(...unsettled)
+    this.scheduleFlush(0)
   }
 
-  private late (pending: Pending): void {
+  private handleTimeout (pending: PendingRecord): void {
     if (pending.settled) return
-    this.settle(pending.record.id, lateFailure(pending.uncertain || pending.inFlight))
+    this.settle(pending.record.id, timeoutFailure(pending.mayHaveTakenEffect || pending.inFlight))
   }
 
   private settle (id: string, result: Result<Verdict>): void {
@@ -211,8 +211,8 @@
   }
 }
 
-function lateFailure (uncertain: boolean): Failure {
-  return uncertain
-    ? failure('commandUnknown', 'the log did not confirm the record in time', { retryAfterMs: 1000 })
-    : failure('logUnavailable', 'the log took no record in time', { retryAfterMs: 1000 })
+function timeoutFailure (mayHaveTakenEffect: boolean): Failure {
+  return mayHaveTakenEffect
+    ? failure('commandUnknown', 'the log did not confirm the record before the timeout', { retryAfterMs: 1000 })
+    : failure('logUnavailable', 'the record was not appended to the log before the timeout', { retryAfterMs: 1000 })
 }
--- a/src/actors/common/log/checkpointer.ts
+++ b/src/actors/common/log/checkpointer.ts
@@ -1,7 +1,8 @@
 /**
- * Writes checkpoints, before the log forgets the entries since the last one. One host does it, the
- * home of the key `checkpoints`; two at once would only write one too many. An idle service writes
- * them too: the last checkpoint grows old with the log like everything else in it.
+ * Writes checkpoints before the log discards the entries since the last one. Only the home of the
+ * key `checkpoints` does so; if two hosts do it at once, one checkpoint is redundant. Checkpoints
+ * are also written while the service is idle, because the last one expires from the log like every
+ * other entry.
  */
 
 import type { Clock, Chance } from '../../../ports/common/clock.ts'
@@ -10,7 +11,7 @@
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Log } from '../../../ports/common/log.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
-import type { Homes } from '../routing/homes.ts'
+import type { HomeResolver } from '../routing/homeResolver.ts'
 import type { TaskSystem } from '../task.ts'
 import { Task } from '../task.ts'
 import type { FoldView } from './controlLog.ts'
@@ -18,7 +19,7 @@
 export interface CheckpointerServices {
   readonly system: TaskSystem
   readonly fold: FoldView
-  readonly homes: Homes
+  readonly homes: HomeResolver
   readonly log: Log
   readonly hash: Hash
   readonly clock: Clock
@@ -32,31 +33,31 @@
   readonly intervalMs: number
 }
 
-type Message = { readonly type: 'look' } | { readonly type: 'written', readonly offset: number, readonly whole: boolean }
+type Message = { readonly type: 'check-due' } | { readonly type: 'written', readonly offset: number, readonly whole: boolean }
 
-const LOOK_MS = 500
+const DUE_CHECK_INTERVAL_MS = 500
 
 export class Checkpointer extends Task<Message> {
   private lastOffset = 0
-  private lastTime: number
+  private lastWrittenAt: number
   private writing = false
 
   constructor (private readonly services: CheckpointerServices, private readonly settings: CheckpointerSettings) {
     super(services.system, 'checkpointer', services.metrics)
-    this.lastTime = services.clock.monotonic()
-    this.disposables.add(services.clock.every(LOOK_MS, () => { this.tell({ type: 'look' }) }))
+    this.lastWrittenAt = services.clock.monotonic()
+    this.disposables.add(services.clock.every(DUE_CHECK_INTERVAL_MS, () => { this.tell({ type: 'check-due' }) }))
   }
 
   protected override receive (message: Message): void {
-    if (message.type === 'look') this.look()
-    else this.written(message.offset, message.whole)
+    if (message.type === 'check-due') this.writeIfDue()
+    else this.handleWritten(message.offset, message.whole)
   }
 
-  private look (): void {
+  private writeIfDue (): void {
     const { fold, homes, clock } = this.services
-    if (this.writing || !fold.fresh || !homes.isSelf(homes.ofCheckpoints())) return
-    const due = fold.state.offset - this.lastOffset >= this.settings.entries || clock.monotonic() - this.lastTime >= this.settings.intervalMs
-    if (!due) return
+    if (this.writing || !fold.fresh || !homes.isSelf(homes.homeOfCheckpoints())) return
+    const isDue = fold.state.offset - this.lastOffset >= this.settings.entries || clock.monotonic() - this.lastWrittenAt >= this.settings.intervalMs
+    if (!isDue) return
     this.writing = true
     const offset = fold.state.offset
     this.write(offset, snapshot(fold.state)).then(
@@ -75,14 +76,14 @@
     return true
   }
 
-  private written (offset: number, whole: boolean): void {
+  private handleWritten (offset: number, whole: boolean): void {
     this.writing = false
     if (!whole) {
       this.services.metrics.count('checkpoint.failed')
       return
     }
     this.lastOffset = offset
-    this.lastTime = this.services.clock.monotonic()
+    this.lastWrittenAt = this.services.clock.monotonic()
     this.services.metrics.count('checkpoint.written')
     this.services.stateLog.changed('checkpoint written', { offset })
   }
--- a/src/actors/common/membership/membership.ts
+++ b/src/actors/common/membership/membership.ts
@@ -1,7 +1,8 @@
 /**
- * Finds out which hosts live: probes one other host a period, asks others to probe in its stead
- * when no answer comes, and passes on what it learns. Cost per host does not grow with the number
- * of hosts. Probes also carry the fold's offset and the pressure of shards.
+ * Detects which hosts are alive: probes one other host per period, asks further hosts to probe it
+ * indirectly if it does not answer, and disseminates status updates with the probes. The cost per
+ * host does not grow with the number of hosts. Probes also carry the offset of the fold and the
+ * pressure of shards.
  */
 
 import type { HostId, Place, ShardKey } from '../../../base/common/ids.ts'
@@ -27,22 +28,22 @@
   readonly indirect: number
   readonly suspicionMs: number
   readonly forgetMs: number
-  readonly fullExchangeMs: number
+  readonly fullExchangeIntervalMs: number
 }
 
-/** What other parts know of the hosts. */
+/** View of the hosts for other components. */
 export interface MembershipView {
   readonly self: MemberUpdate
   members (): Member[]
-  /** Hosts that may be homes. */
+  /** Returns the hosts that may be homes. */
   available (): Member[]
-  /** Fires when a member's status changed. */
+  /** Fires when the status of a member has changed. */
   readonly onChange: Event<void>
-  /** Says that a host did not answer something else; it is probed at once. */
-  doubt (host: HostId): void
-  /** Last heard pressure of a shard, with the monotonic time of hearing it. */
+  /** Probes a host at once, because it did not answer another call. */
+  probeNow (host: HostId): void
+  /** Returns the last received pressure of a shard. */
   pressureOf (shard: ShardKey): number | undefined
-  /** Last heard load of a host, 0 to 1. */
+  /** Returns the last received load of a host, from 0 to 1. */
   loadOf (host: HostId): number | undefined
 }
 
@@ -57,7 +58,7 @@
   readonly stateLog: StateLog
 }
 
-/** What this host tells with its probes. */
+/** Supplies the data that this host sends with its probes. */
 export interface ProbePayload {
   offset (): number
   load (): number
@@ -72,43 +73,43 @@
   | { readonly type: 'doubt', readonly host: HostId }
   | { readonly type: 'seeds', readonly addresses: readonly string[] }
 
-/** Probes to seeds and to the dead, as one in so many. */
-const SEED_PROBE_EVERY = 8
-/** Hosts that a leaving host tells itself, at most: all of a small deployment, and enough of a large one for their probes to tell the others within two seconds. */
-const LEAVE_TOLD = 24
-/** Part of this host's own age that passes between two exchanges of the whole table while it is young: hosts that start together know few of the others, and updates that travel with probes are some at a time. */
-const EXCHANGE_AGE_SHARE = 0.3
-/** How long hosts that become known or alive are gathered for one line, in milliseconds: a few probe periods, in which a host that starts hears of most others. */
-const GATHER_MS = 1000
+/** One in this many probes is followed by a probe of a seed or a dead host. */
+const UNREACHABLE_PROBE_EVERY = 8
+/** Maximum number of hosts that a leaving host notifies itself: all hosts of a small deployment, and enough of a large one that their probes notify the others within two seconds. */
+const MAX_LEAVE_NOTIFICATIONS = 24
+/** Interval between two exchanges of the full table, as a fraction of the age of this host while it is young: hosts that start together know few of the others, and probes carry only a few updates at a time. */
+const FULL_EXCHANGE_AGE_FACTOR = 0.3
+/** Time for which hosts that become known or alive are collected for one log line: a few probe periods, in which a starting host learns of most others. */
+const STATUS_LOG_DELAY_MS = 1000
 
 export class Membership extends Task<Message> implements MembershipView {
   private readonly table: MemberTable
-  private readonly changes = new Emitter<void>()
+  private readonly changeEmitter = new Emitter<void>()
   private readonly pressures = new Map<ShardKey, number>()
   private readonly loads = new Map<HostId, number>()
-  private readonly storeReachers = new Set<HostId>()
-  private readonly doubted = new Set<HostId>()
-  /** Hosts that became known or alive and that no line has told of. */
-  private readonly news = new Map<HostId, StatusChange>()
-  private gathering: Disposable | undefined
-  private round: Member[] = []
-  private probes = 0
-  private lastFull = Number.NEGATIVE_INFINITY
+  private readonly hostsReachingStore = new Set<HostId>()
+  private readonly hostsBeingProbed = new Set<HostId>()
+  /** Hosts that became known or alive and have not been logged yet. */
+  private readonly unloggedStatuses = new Map<HostId, StatusChange>()
+  private logTimer: Disposable | undefined
+  private probeRound: Member[] = []
+  private probeCount = 0
+  private lastFullExchangeAt = Number.NEGATIVE_INFINITY
   private readonly startedAt: number
   private tablesDiffer = true
   private listed: readonly string[] = []
   private payload: ProbePayload = { offset: () => 0, load: () => 0, reachesStore: () => true, pressures: () => ({}) }
-  readonly onChange = this.changes.event
+  readonly onChange = this.changeEmitter.event
 
   constructor (private readonly services: MembershipServices, private readonly options: MembershipOptions, self: Omit<MemberUpdate, 'status' | 'incarnation'>) {
     super(services.system, 'membership', services.metrics)
     this.startedAt = services.clock.monotonic()
     this.table = new MemberTable(self, options, services.clock.monotonic())
     services.handlers.handle('membership.probe', async (message) => this.answerProbe(message))
-    services.handlers.handle('membership.probe-for', async ({ address }) => ({ reached: (await this.send(address, false)).ok }))
+    services.handlers.handle('membership.probe-for', async ({ address }) => ({ reached: (await this.sendProbe(address, false)).ok }))
     this.disposables.add(services.clock.every(options.probePeriodMs, () => { this.tell({ type: 'probe' }) }))
-    this.disposables.add(this.changes)
-    this.disposables.add(toDisposable(() => { this.gathering?.dispose() }))
+    this.disposables.add(this.changeEmitter)
+    this.disposables.add(toDisposable(() => { this.logTimer?.dispose() }))
     this.tell({ type: 'probe' })
   }
 
@@ -132,55 +133,55 @@
     return host === this.self.host ? this.payload.load() : this.loads.get(host)
   }
 
-  /** Addresses of hosts that may answer, in random order; seeds where none is known. */
+  /** Returns the addresses of hosts that may answer, in random order; the seeds if no host is known. */
   peerAddresses (): string[] {
     const known = this.table.reachableMembers().map((member) => member.address)
     return shuffle(known.length > 0 ? known : this.seeds(), this.services.chance)
   }
 
-  /** Addresses of live hosts that said lately that they reach the store, in random order. */
-  storeReacherAddresses (): string[] {
-    return shuffle(this.table.availableMembers().filter(({ host }) => host !== this.self.host && this.storeReachers.has(host)).map(({ address }) => address), this.services.chance)
+  /** Returns the addresses of live hosts that last reported that they reach the store, in random order. */
+  addressesReachingStore (): string[] {
+    return shuffle(this.table.availableMembers().filter(({ host }) => host !== this.self.host && this.hostsReachingStore.has(host)).map(({ address }) => address), this.services.chance)
   }
 
-  /** Whether all hosts of some other place are out of reach. */
-  placeLost (): boolean {
-    const reached = new Set<Place>()
-    const places = new Set<Place>()
+  /** Returns whether all hosts of some other failure domain are unreachable. */
+  isAnyFailureDomainLost (): boolean {
+    const reachableDomains = new Set<Place>()
+    const failureDomains = new Set<Place>()
     for (const member of this.table.allMembers()) {
-      places.add(member.place)
-      if (member.status === 'alive' || member.status === 'leaving') reached.add(member.place)
+      failureDomains.add(member.place)
+      if (member.status === 'alive' || member.status === 'leaving') reachableDomains.add(member.place)
     }
-    return [...places].some((place) => !reached.has(place))
+    return [...failureDomains].some((place) => !reachableDomains.has(place))
   }
 
-  doubt (host: HostId): void {
+  probeNow (host: HostId): void {
     this.tell({ type: 'doubt', host })
   }
 
-  /** What probes tell of this host. */
-  tellWithProbes (payload: ProbePayload): void {
+  /** Sets the source of the data that this host sends with its probes. */
+  setProbePayload (payload: ProbePayload): void {
     this.payload = payload
   }
 
-  /** Addresses from the platform's list of hosts, which lags and is only a way in. */
-  setListed (addresses: readonly string[]): void {
+  /** Sets the addresses from the platform's list of hosts. The list lags behind and is only used like seeds. */
+  setListedAddresses (addresses: readonly string[]): void {
     this.tell({ type: 'seeds', addresses })
   }
 
-  /** Announces that this host is about to exit; those that it tells pass it on. */
+  /** Announces that this host is about to exit. The notified hosts disseminate the announcement. */
   leave (): void {
     this.table.leave(this.services.clock.monotonic())
-    this.changes.fire()
-    for (const member of shuffle(this.table.reachableMembers(), this.services.chance).slice(0, LEAVE_TOLD)) this.send(member.address, false)
+    this.changeEmitter.fire()
+    for (const member of shuffle(this.table.reachableMembers(), this.services.chance).slice(0, MAX_LEAVE_NOTIFICATIONS)) this.sendProbe(member.address, false)
   }
 
   protected override receive (message: Message): void {
     switch (message.type) {
       case 'probe': this.probeNext(); break
-      case 'probed': this.takeAnswer(message.member, message.answer); break
+      case 'probed': this.handleAnswer(message.member, message.answer); break
       case 'unanswered': this.suspect(message.member); break
-      case 'doubt': this.probeDoubted(message.host); break
+      case 'doubt': this.probeHostNow(message.host); break
       case 'seeds': this.listed = message.addresses; break
       default: unreachable(message)
     }
@@ -192,56 +193,56 @@
   }
 
   private probeNext (): void {
-    this.expire()
+    this.expireSuspects()
     const member = this.nextMember()
     if (member !== undefined) this.probe(member)
-    if (member === undefined || this.probes++ % SEED_PROBE_EVERY === 0) this.probeLost()
+    if (member === undefined || this.probeCount++ % UNREACHABLE_PROBE_EVERY === 0) this.probeUnreachable()
   }
 
-  private expire (): void {
+  private expireSuspects (): void {
     const died = this.table.expire(this.services.clock.monotonic())
     for (const member of died) this.services.stateLog.changed('host is dead', { member: member.host })
     if (died.length === 0) return
     this.services.metrics.count('membership.died', died.length)
     for (const { host } of died) {
       this.loads.delete(host)
-      this.storeReachers.delete(host)
+      this.hostsReachingStore.delete(host)
     }
-    this.changes.fire()
+    this.changeEmitter.fire()
   }
 
-  /** Each member once a round, in a new random order each round. */
+  /** Returns the next member to probe: each one once per round, in a new random order each round. */
   private nextMember (): Member | undefined {
-    if (this.round.length === 0) this.round = shuffle(this.table.reachableMembers(), this.services.chance)
-    const next = this.round.pop()
+    if (this.probeRound.length === 0) this.probeRound = shuffle(this.table.reachableMembers(), this.services.chance)
+    const next = this.probeRound.pop()
     if (next === undefined) return undefined
     const current = this.table.get(next.host)
     return current === undefined || current.status === 'dead' ? this.nextMember() : current
   }
 
-  /** Seeds and the dead are asked now and then: the two sides of a healed cut find each other so. */
-  private async probeLost (): Promise<void> {
+  /** Probes a seed or a dead host, so that the two sides of a healed network partition find each other. */
+  private async probeUnreachable (): Promise<void> {
     const known = new Set(this.table.reachableMembers().map((member) => member.address))
     const dead = this.table.allMembers().filter((member) => member.status === 'dead').map((member) => member.address)
     const [address] = shuffle([...new Set([...this.seeds(), ...dead])].filter((candidate) => !known.has(candidate)), this.services.chance)
     if (address === undefined) return
-    this.tell({ type: 'probed', member: undefined, answer: await this.send(address, true) })
+    this.tell({ type: 'probed', member: undefined, answer: await this.sendProbe(address, true) })
   }
 
-  private probeDoubted (host: HostId): void {
+  private probeHostNow (host: HostId): void {
     const member = this.table.get(host)
-    if (member === undefined || this.doubted.has(host) || member.status === 'dead') return
-    this.doubted.add(host)
-    this.probe(member).finally(() => { this.doubted.delete(host) }).catch(() => undefined)
+    if (member === undefined || this.hostsBeingProbed.has(host) || member.status === 'dead') return
+    this.hostsBeingProbed.add(host)
+    this.probe(member).finally(() => { this.hostsBeingProbed.delete(host) }).catch(() => undefined)
   }
 
   private async probe (member: Member): Promise<void> {
     const now = this.services.clock.monotonic()
-    const full = this.tablesDiffer && now - this.lastFull >= Math.min(this.options.fullExchangeMs, (now - this.startedAt) * EXCHANGE_AGE_SHARE)
-    if (full) this.lastFull = now
-    const answer = await this.send(member.address, full)
-    const ended = !answer.ok && answer.code === 'targetUnreachable'
-    if (answer.ok || (!ended && await this.reachedOtherwise(member))) {
+    const full = this.tablesDiffer && now - this.lastFullExchangeAt >= Math.min(this.options.fullExchangeIntervalMs, (now - this.startedAt) * FULL_EXCHANGE_AGE_FACTOR)
+    if (full) this.lastFullExchangeAt = now
+    const answer = await this.sendProbe(member.address, full)
+    const processEnded = !answer.ok && answer.code === 'targetUnreachable'
+    if (answer.ok || (!processEnded && await this.isReachableOtherwise(member))) {
       if (answer.ok) this.tell({ type: 'probed', member, answer })
       return
     }
@@ -249,33 +250,33 @@
   }
 
   /**
-   * The connection may have gone silent while the host lives, so it is tried anew first (the peers'
-   * adapter has put the old connection aside), and through other hosts.
+   * Probes a host again directly and then through other hosts. Its connection may have become silent while
+   * the host is alive; the second direct probe uses a new connection, as the peers adapter has discarded the old one.
    */
-  private async reachedOtherwise (member: Member): Promise<boolean> {
-    const again = await this.send(member.address, false)
-    if (again.ok) {
+  private async isReachableOtherwise (member: Member): Promise<boolean> {
+    const secondAnswer = await this.sendProbe(member.address, false)
+    if (secondAnswer.ok) {
       this.services.metrics.count('membership.silent_connection')
-      this.tell({ type: 'probed', member, answer: again })
+      this.tell({ type: 'probed', member, answer: secondAnswer })
       return true
     }
     const helpers = shuffle(this.table.reachableMembers().filter((other) => other.host !== member.host && other.status === 'alive'), this.services.chance)
-    const asked = helpers.slice(0, this.options.indirect).map(async (helper) => {
+    const indirectAnswers = helpers.slice(0, this.options.indirect).map(async (helper) => {
       const answer = await this.services.peers.call(helper.address, 'membership.probe-for', { address: member.address }, this.options.probeTimeoutMs * 3)
       return answer.ok && answer.value.reached
     })
-    return (await Promise.all(asked)).some((reached) => reached)
+    return (await Promise.all(indirectAnswers)).some((reached) => reached)
   }
 
   private suspect (member: Member): void {
     if (!this.table.suspect(member.host, this.services.clock.monotonic())) return
     this.services.metrics.count('membership.suspected')
-    if (this.news.has(member.host)) this.tellNews()
+    if (this.unloggedStatuses.has(member.host)) this.flushStatusLog()
     this.services.stateLog.changed('host is suspect', { member: member.host })
-    this.changes.fire()
+    this.changeEmitter.fire()
   }
 
-  private async send (address: string, full: boolean): Promise<Result<ProbeMessage>> {
+  private async sendProbe (address: string, full: boolean): Promise<Result<ProbeMessage>> {
     return await this.services.peers.call(address, 'membership.probe', this.message(full, full), this.options.probeTimeoutMs)
   }
 
@@ -292,52 +293,52 @@
     }
   }
 
-  /** Writes what a host became; what comes with a start or with the end of a cut is gathered, as it comes for all hosts. */
-  private note (change: StatusChange): void {
-    const gathered = this.news.get(change.host)
-    if (gathered === undefined && change.was !== 'unknown' && change.status !== 'alive') {
+  /** Logs a status change. Hosts that become known or alive are collected for one line, as a start or the end of a partition affects all hosts. */
+  private logStatus (change: StatusChange): void {
+    const pendingStatus = this.unloggedStatuses.get(change.host)
+    if (pendingStatus === undefined && change.was !== 'unknown' && change.status !== 'alive') {
       return this.services.stateLog.changed('host status', { member: change.host, status: change.status, was: change.was })
     }
-    this.news.set(change.host, { ...change, was: gathered?.was ?? change.was })
-    this.gathering ??= this.services.clock.after(GATHER_MS, () => { this.tellNews() })
+    this.unloggedStatuses.set(change.host, { ...change, was: pendingStatus?.was ?? change.was })
+    this.logTimer ??= this.services.clock.after(STATUS_LOG_DELAY_MS, () => { this.flushStatusLog() })
   }
 
-  private tellNews (): void {
-    this.gathering?.dispose()
-    this.gathering = undefined
-    const line = summarizeStatusChanges([...this.news.values()], this.table.allMembers().length)
-    this.news.clear()
+  private flushStatusLog (): void {
+    this.logTimer?.dispose()
+    this.logTimer = undefined
+    const line = summarizeStatusChanges([...this.unloggedStatuses.values()], this.table.allMembers().length)
+    this.unloggedStatuses.clear()
     if (line !== undefined) this.services.stateLog.changed(line.what, line.details)
   }
 
   private answerProbe (message: ProbeMessage): ProbeMessage {
-    this.learn(message)
+    this.mergeProbe(message)
     return this.message(false, message.full)
   }
 
-  private takeAnswer (member: Member | undefined, answer: Result<ProbeMessage>): void {
+  private handleAnswer (member: Member | undefined, answer: Result<ProbeMessage>): void {
     if (!answer.ok) return
-    this.learn(answer.value)
-    const replaced = member !== undefined && answer.value.from.host !== member.host
-    if (replaced) this.suspect(member)
+    this.mergeProbe(answer.value)
+    const isOtherHost = member !== undefined && answer.value.from.host !== member.host
+    if (isOtherHost) this.suspect(member)
   }
 
-  private learn (message: ProbeMessage): void {
+  private mergeProbe (message: ProbeMessage): void {
     const now = this.services.clock.monotonic()
     let changed = false
     for (const update of [message.from, ...message.updates]) {
-      const before = this.table.get(update.host)?.status
+      const formerStatus = this.table.get(update.host)?.status
       if (!this.table.merge(update, now)) continue
-      if (before === this.table.get(update.host)?.status) continue
+      if (formerStatus === this.table.get(update.host)?.status) continue
       changed = true
-      this.note({ host: update.host, status: update.status, was: before ?? 'unknown' })
+      this.logStatus({ host: update.host, status: update.status, was: formerStatus ?? 'unknown' })
     }
     this.tablesDiffer = message.digest !== this.services.hash.digest(this.table.summary())
     this.loads.set(message.from.host, message.load)
-    if (message.reachesStore) this.storeReachers.add(message.from.host)
-    else this.storeReachers.delete(message.from.host)
+    if (message.reachesStore) this.hostsReachingStore.add(message.from.host)
+    else this.hostsReachingStore.delete(message.from.host)
     for (const [shard, pressure] of Object.entries(message.pressures)) this.pressures.set(shard as ShardKey, pressure)
-    if (changed) this.changes.fire()
+    if (changed) this.changeEmitter.fire()
   }
 }
 
@@ -345,9 +346,9 @@
   const result = [...items]
   for (let index = result.length - 1; index > 0; index--) {
     const other = Math.floor(chance.next() * (index + 1))
-    const kept = result[index] as T
+    const swapped = result[index] as T
     result[index] = result[other] as T
-    result[other] = kept
+    result[other] = swapped
   }
   return result
 }
--- a/src/actors/common/operators/operatorDesk.ts
+++ b/src/actors/common/operators/operatorService.ts
@@ -1,7 +1,7 @@
 /**
- * What operators ask for: statements of the query and command language. Questions go to all hosts
- * where only they know the answer; the answer says which did not reply and how old each part is.
- * Commands are conditional records and are accepted or rejected by the fold.
+ * Runs the statements of operators in the query and command language. A query is sent to all hosts
+ * if only they hold the data; the answer lists the hosts that did not reply and the log offset of
+ * each part. Commands are conditional records that the fold accepts or rejects.
  */
 
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -18,27 +18,27 @@
 import type { MembershipView } from '../membership/membership.ts'
 import type { Views } from './views.ts'
 
-/** Who asks. */
+/** Identity of the operator that sends a request. */
 export interface OperatorIdentity {
   readonly name: string
 }
 
-/** What an operator sends. */
+/** Request of an operator. */
 export interface OperatorRequest {
   readonly statement: string
-  /** Makes a repeated command harmless; chosen here where absent. */
+  /** Id that makes a repeated command idempotent; generated if absent. */
   readonly id?: string
-  /** Answers only once the change is in force on all live hosts. */
+  /** Whether to answer only when the change is in force on all live hosts, or the wait has timed out. */
   readonly wait?: boolean
 }
 
-/** Answer to a question. */
+/** Answer to a query. */
 export interface RowsAnswer {
   readonly type: 'rows'
   readonly rows: readonly Row[]
-  /** Each host that contributed, with the log offset its part stands at. */
+  /** Hosts that contributed rows, with the log offset up to which each had folded. */
   readonly sources: readonly { readonly host: string, readonly offset: number }[]
-  /** Hosts that did not reply in time. */
+  /** Hosts that did not reply before the timeout. */
   readonly silent: readonly string[]
 }
 
@@ -47,12 +47,12 @@
   readonly type: 'accepted'
   readonly id: string
   readonly revision: number
-  /** Hosts that are known to have the change in force; only with `wait`. */
+  /** Hosts on which the change is known to be in force; only with `wait`. */
   readonly confirmed?: readonly string[]
   readonly unconfirmed?: readonly string[]
 }
 
-export interface OperatorDeskServices {
+export interface OperatorServiceDependencies {
   readonly fold: FoldView
   readonly appender: Pick<Appender, 'decide'>
   readonly membership: MembershipView
@@ -63,78 +63,78 @@
   readonly chance: Chance
 }
 
-const FAN_OUT_TIMEOUT_MS = 1000
-const CONFIRM_EVERY_MS = 100
+const PEER_QUERY_TIMEOUT_MS = 1000
+const CONFIRMATION_POLL_INTERVAL_MS = 100
 
-export class OperatorDesk {
-  constructor (private readonly services: OperatorDeskServices, private readonly verdictWaitMs: number) {
+export class OperatorService {
+  constructor (private readonly services: OperatorServiceDependencies, private readonly verdictTimeoutMs: number) {
     services.handlers.handle('query.rows', async ({ view }) => ({
-      rows: services.views.local(view),
+      rows: services.views.localRows(view),
       offset: services.fold.state.offset,
       revision: services.fold.state.configurationRevision
     }))
   }
 
   /**
-   * Runs a statement. The parser is loaded with the first one: it takes a third of the memory that
-   * a resting host may have, and most hosts are asked for nothing for hours.
+   * Runs a statement. The parser is loaded with the first statement, as it takes a third of the memory
+   * budget of an idle host and most hosts receive no statement for hours.
    */
   async run (request: OperatorRequest, identity: OperatorIdentity): Promise<Result<RowsAnswer | CommandAnswer>> {
     const { parseStatement } = await import('../../../core/common/language/parser.ts')
     const statement = parseStatement(request.statement)
     if (!statement.ok) return statement
     return statement.value.type === 'show'
-      ? await this.show(statement.value)
-      : await this.command(statement.value.command, request, identity)
+      ? await this.runQuery(statement.value)
+      : await this.runCommand(statement.value.command, request, identity)
   }
 
-  private async show (statement: ShowStatement): Promise<Result<RowsAnswer>> {
+  private async runQuery (statement: ShowStatement): Promise<Result<RowsAnswer>> {
     const { fold, views, membership } = this.services
     if (statement.subscription !== undefined && fold.state.configuration.subscription[statement.subscription] === undefined) {
       return failure('notFound', `there is no subscription ${statement.subscription}`)
     }
-    const here = { host: membership.self.host, offset: fold.state.offset }
-    const shared = views.shared(statement)
-    if (shared !== undefined) return success({ type: 'rows', rows: filterRows(shared, statement.conditions), sources: [here], silent: [] })
+    const ownSource = { host: membership.self.host, offset: fold.state.offset }
+    const sharedRows = views.sharedRows(statement)
+    if (sharedRows !== undefined) return success({ type: 'rows', rows: filterRows(sharedRows, statement.conditions), sources: [ownSource], silent: [] })
     const others = membership.members().filter((member) => member.host !== membership.self.host && member.status !== 'dead')
     const answers = await Promise.all(others.map(async (member) => ({
       member,
-      answer: await this.services.peers.call(member.address, 'query.rows', { view: statement.view }, FAN_OUT_TIMEOUT_MS)
+      answer: await this.services.peers.call(member.address, 'query.rows', { view: statement.view }, PEER_QUERY_TIMEOUT_MS)
     })))
     const parts = answers.flatMap(({ member, answer }) => answer.ok ? [{ host: member.host, rows: answer.value.rows, offset: answer.value.offset }] : [])
-    const rows = [...views.local(statement.view), ...parts.flatMap((part) => part.rows)]
+    const rows = [...views.localRows(statement.view), ...parts.flatMap((part) => part.rows)]
     return success({
       type: 'rows',
-      rows: filterRows(views.merge(statement.view, rows), statement.conditions),
-      sources: [here, ...parts.map(({ host, offset }) => ({ host, offset }))],
+      rows: filterRows(views.mergeRows(statement.view, rows), statement.conditions),
+      sources: [ownSource, ...parts.map(({ host, offset }) => ({ host, offset }))],
       silent: answers.filter(({ answer }) => !answer.ok).map(({ member }) => member.host)
     })
   }
 
-  private async command (command: Command, request: OperatorRequest, identity: OperatorIdentity): Promise<Result<CommandAnswer>> {
+  private async runCommand (command: Command, request: OperatorRequest, identity: OperatorIdentity): Promise<Result<CommandAnswer>> {
     const id = request.id ?? this.services.chance.id()
     const record = { kind: 'command', id: `${identity.name}:${id}`, at: this.services.clock.wall(), by: identity.name, command } as const
-    const decided = await this.services.appender.decide(record, this.verdictWaitMs)
+    const decided = await this.services.appender.decide(record, this.verdictTimeoutMs)
     if (!decided.ok) return decided
     const verdict = decided.value.result as Result<number>
     if (!verdict.ok) return verdict
     const accepted: CommandAnswer = { type: 'accepted', id, revision: verdict.value }
-    return success(request.wait === true ? { ...accepted, ...await this.confirm(this.services.fold.state.offset) } : accepted)
+    return success(request.wait === true ? { ...accepted, ...await this.awaitConfirmation(this.services.fold.state.offset) } : accepted)
   }
 
-  /** Asks the live hosts until all have folded up to the offset, or the wait ends. */
-  private async confirm (offset: number): Promise<{ confirmed: string[], unconfirmed: string[] }> {
-    const until = this.services.clock.monotonic() + this.verdictWaitMs
+  /** Polls the live hosts until all have folded up to the offset, or the timeout expires. */
+  private async awaitConfirmation (offset: number): Promise<{ confirmed: string[], unconfirmed: string[] }> {
+    const deadline = this.services.clock.monotonic() + this.verdictTimeoutMs
     const { membership } = this.services
     const confirmed = new Set<string>([membership.self.host])
     for (;;) {
-      const open = membership.members().filter((member) => member.status !== 'dead' && !confirmed.has(member.host))
-      if (open.length === 0 || this.services.clock.monotonic() >= until) return { confirmed: [...confirmed], unconfirmed: open.map((member) => member.host) }
-      await Promise.all(open.map(async (member) => {
-        const answer = await this.services.peers.call(member.address, 'query.rows', { view: 'none' }, FAN_OUT_TIMEOUT_MS)
+      const unconfirmedMembers = membership.members().filter((member) => member.status !== 'dead' && !confirmed.has(member.host))
+      if (unconfirmedMembers.length === 0 || this.services.clock.monotonic() >= deadline) return { confirmed: [...confirmed], unconfirmed: unconfirmedMembers.map((member) => member.host) }
+      await Promise.all(unconfirmedMembers.map(async (member) => {
+        const answer = await this.services.peers.call(member.address, 'query.rows', { view: 'none' }, PEER_QUERY_TIMEOUT_MS)
         if (answer.ok && answer.value.offset >= offset) confirmed.add(member.host)
       }))
-      await pause(this.services.clock, CONFIRM_EVERY_MS)
+      await pause(this.services.clock, CONFIRMATION_POLL_INTERVAL_MS)
     }
   }
 }
--- a/src/actors/common/operators/views.ts
+++ b/src/actors/common/operators/views.ts
@@ -1,4 +1,4 @@
-/** The rows that `show` gives: shared ones from the fold, local ones from what only this host knows. */
+/** Provides the rows of `show` statements: shared rows come from the fold, local rows from data that only this host holds. */
 
 import { asSubscriptionName, asTargetName } from '../../../base/common/ids.ts'
 import { unreachable } from '../../../base/common/exhaustive.ts'
@@ -8,12 +8,12 @@
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { FoldView } from '../log/controlLog.ts'
 import type { MembershipView } from '../membership/membership.ts'
-import type { Homes } from '../routing/homes.ts'
-import type { ShardHomes } from '../routing/shardHomes.ts'
+import type { HomeResolver } from '../routing/homeResolver.ts'
+import type { ShardAdmissionServer } from '../routing/shardAdmissionServer.ts'
 import type { TargetDirectory } from '../targets/targetDirectory.ts'
 import { shardOf } from '../targets/targetDirectory.ts'
 
-/** What a host tells of itself in `show status` and `show hosts`. */
+/** Figures of a host in `show status`. */
 export interface HostStatus {
   readonly requests: number
   readonly rollouts: number
@@ -25,8 +25,8 @@
   readonly fold: FoldView
   readonly membership: MembershipView
   readonly directory: TargetDirectory
-  readonly homes: Homes
-  readonly shardHomes: ShardHomes
+  readonly homes: HomeResolver
+  readonly admissionServer: ShardAdmissionServer
   readonly clock: Clock
   readonly status: () => HostStatus
 }
@@ -34,15 +34,15 @@
 export class Views {
   constructor (private readonly services: ViewsServices) {}
 
-  /** Rows that every host has alike; undefined where hosts have to be asked. */
-  shared (statement: ShowStatement): Row[] | undefined {
+  /** Returns the rows of a view that are the same on every host, or `undefined` if the hosts have to be queried. */
+  sharedRows (statement: ShowStatement): Row[] | undefined {
     switch (statement.view) {
-      case 'pools': return this.objects('pool')
-      case 'lanes': return this.objects('lane')
-      case 'subscriptions': return this.subscriptions()
-      case 'leases': return this.leases()
-      case 'samples': return this.samples(statement.subscription ?? '')
-      case 'audit': return this.audit(statement.sinceMs)
+      case 'pools': return this.objectRows('pool')
+      case 'lanes': return this.objectRows('lane')
+      case 'subscriptions': return this.subscriptionRows()
+      case 'leases': return this.leaseRows()
+      case 'samples': return this.sampleRows(statement.subscription ?? '')
+      case 'audit': return this.auditRows(statement.sinceMs)
       case 'targets':
       case 'hosts':
       case 'status':
@@ -51,18 +51,18 @@
     }
   }
 
-  /** Rows that this host contributes to a view. */
-  local (view: string): Row[] {
+  /** Returns the rows that this host contributes to a view. */
+  localRows (view: string): Row[] {
     switch (view) {
-      case 'targets': return this.targets()
-      case 'hosts': return [this.host()]
+      case 'targets': return this.targetRows()
+      case 'hosts': return [this.hostRow()]
       case 'status': return [{ host: this.services.membership.self.host, ...this.services.status() }]
       default: return []
     }
   }
 
-  /** Joins the hosts' rows: each target is told of by its home, in the rest by whoever has it. */
-  merge (view: ViewName, rows: readonly Row[]): Row[] {
+  /** Merges the rows of all hosts. The row of a target comes from a host that knows its weights, which is its home; otherwise from any host. */
+  mergeRows (view: ViewName, rows: readonly Row[]): Row[] {
     if (view !== 'targets') return [...rows]
     const byName = new Map<string, Row>()
     for (const row of rows) {
@@ -73,15 +73,15 @@
     return [...byName.values()]
   }
 
-  private objects (kind: ObjectKind): Row[] {
+  private objectRows (kind: ObjectKind): Row[] {
     return Object.values(this.services.fold.state.configuration[kind]).map(({ name, revision, by, properties }) => ({ name, ...properties, revision, by }))
   }
 
-  private targets (): Row[] {
-    const { fold, directory, shardHomes, homes } = this.services
+  private targetRows (): Row[] {
+    const { fold, directory, admissionServer, homes } = this.services
     return Object.values(fold.state.configuration.target).map((target) => {
       const shard = shardOf(target)
-      const home = homes.isSelf(homes.ofShard(shard))
+      const home = homes.isSelf(homes.homeOfShard(shard))
       const report = home ? directory.report(asTargetName(target.name)) : undefined
       return {
         name: target.name,
@@ -93,27 +93,27 @@
         available: home ? directory.available(target) : null,
         weights: report?.version ?? null,
         slots: target.properties.slots,
-        granted: home ? shardHomes.runningOn(shard, asTargetName(target.name)) : null,
+        granted: home ? admissionServer.runningOn(shard, asTargetName(target.name)) : null,
         running: report?.running ?? null,
         revision: target.revision
       }
     })
   }
 
-  private host (): Row {
+  private hostRow (): Row {
     const { membership, fold } = this.services
     const { host, place, address, status, incarnation } = membership.self
     return { host, place, address, status, incarnation, offset: fold.state.offset, revision: fold.state.configurationRevision, fresh: fold.fresh }
   }
 
-  private subscriptions (): Row[] {
+  private subscriptionRows (): Row[] {
     const { state } = this.services.fold
     return Object.values(state.configuration.subscription).map(({ name, revision, properties }) => {
       const found = state.subscriptions[name]
       return {
         name,
         ...properties,
-        home: this.services.homes.ofSubscription(asSubscriptionName(name))?.host ?? null,
+        home: this.services.homes.homeOfSubscription(asSubscriptionName(name))?.host ?? null,
         groups: Object.keys(found?.groups ?? {}).length,
         ready: found?.ready.length ?? 0,
         cursor: found?.acknowledged ?? 0,
@@ -125,7 +125,7 @@
     })
   }
 
-  private samples (subscription: string): Row[] {
+  private sampleRows (subscription: string): Row[] {
     const found = this.services.fold.state.subscriptions[subscription]
     return Object.entries(found?.groups ?? {}).flatMap(([group, { step, slots }]) => slots.map((sample, index) => ({
       group,
@@ -138,11 +138,11 @@
     })))
   }
 
-  private leases (): Row[] {
+  private leaseRows (): Row[] {
     return Object.entries(this.services.fold.state.leases).map(([shard, lease]) => ({ shard, holder: lease.holder ?? null, fence: lease.fence, epoch: lease.epoch }))
   }
 
-  private audit (sinceMs: number | undefined): Row[] {
+  private auditRows (sinceMs: number | undefined): Row[] {
     const after = sinceMs === undefined ? 0 : this.services.clock.wall() - sinceMs
     return this.services.fold.state.audit.filter((entry) => entry.at >= after).map((entry) => ({
       at: entry.at, by: entry.by, command: JSON.stringify(entry.command), verdict: entry.verdict, revision: entry.revision, offset: entry.offset
--- a/src/actors/common/requests/interactiveWish.ts
+++ b/src/actors/common/requests/interactiveWish.ts
@@ -1,7 +1,7 @@
 /** What every request of a caller has in common, and the slot that it asks for. */
 
 import type { PoolName, TargetName } from '../../../base/common/ids.ts'
-import type { GrantWish } from '../routing/grantClient.ts'
+import type { SlotRequest } from '../routing/grantClient.ts'
 
 /** A request of a caller on a lane. */
 export interface LaneRequest {
@@ -18,7 +18,7 @@
 }
 
 /** The slot that a request asks for, at another target than those that failed it. */
-export function interactiveWish (request: LaneRequest, exclude: readonly TargetName[], prefix?: string): GrantWish {
+export function interactiveWish (request: LaneRequest, exclude: readonly TargetName[], prefix?: string): SlotRequest {
   return {
     pool: request.pool,
     workClass: 'interactive',
@@ -27,7 +27,7 @@
     share: 1,
     caller: request.caller,
     callerLimit: request.callerLimit,
-    until: request.deadline,
+    deadline: request.deadline,
     exclude,
     signal: request.signal,
     ...(prefix === undefined ? {} : { prefix })
--- a/src/actors/common/routing/grantClient.ts
+++ b/src/actors/common/routing/grantClient.ts
@@ -1,9 +1,9 @@
 /**
- * The holder side of admission: asks the home of a shard for a slot, keeps the slots in use renewed
- * and gives them back.
+ * Holder side of admission: requests slots from the homes of shards, renews the slots in use and
+ * releases them.
  *
- * A home can die or go silent while a request waits in its queue. The request then must not wait out
- * its deadline there: as soon as this host's members say that the home is another, it asks that one.
+ * A home can die or stop answering while a request waits in its queue. The request must not wait there
+ * until its deadline, so it is sent to the new home as soon as the membership of this host names one.
  */
 
 import type { HostId, Place, PoolName, ShardKey, TargetName } from '../../../base/common/ids.ts'
@@ -20,25 +20,25 @@
 import type { AcquireAnswer, PeerHandlers, Peers } from '../../../ports/common/peers.ts'
 import type { MembershipView } from '../membership/membership.ts'
 import type { TargetDirectory } from '../targets/targetDirectory.ts'
-import type { Homes } from './homes.ts'
-import type { ShardHomes } from './shardHomes.ts'
+import type { HomeResolver } from './homeResolver.ts'
+import type { ShardAdmissionServer } from './shardAdmissionServer.ts'
 
-/** What a slot is wanted for. */
-export interface GrantWish extends Omit<AcquireRequest, 'grant' | 'holder' | 'maximumWaitMs'> {
+/** Request for a slot in any shard of a pool. */
+export interface SlotRequest extends Omit<AcquireRequest, 'grant' | 'holder' | 'maximumWaitMs'> {
   readonly pool: PoolName
-  /** Monotonic time by which a slot is of use. */
-  readonly until: number
-  /** Ends the wait; the result is then a failure. */
+  /** Monotonic time after which a slot is of no use. */
+  readonly deadline: number
+  /** Cancels the request, which then fails. */
   readonly signal?: AbortSignal
 }
 
-/** A slot in use. */
+/** A granted slot. */
 export interface HeldGrant {
   readonly target: TargetName
   readonly address: string
-  /** Monotonic time after which it must not be used to start something. */
+  /** Monotonic time after which no work may be started with the slot. */
   readonly useBefore: number
-  /** Aborted when the home wants the slot back. */
+  /** Aborted when the home revokes the slot. */
   readonly revoked: AbortSignal
   release (): void
 }
@@ -46,9 +46,9 @@
 export interface GrantClientServices {
   readonly membership: MembershipView
   readonly directory: TargetDirectory
-  readonly homes: Homes
-  /** Home side on this host. */
-  readonly local: ShardHomes
+  readonly homes: HomeResolver
+  /** Home side of admission on this host. */
+  readonly localAdmission: ShardAdmissionServer
   readonly peers: Peers
   readonly handlers: PeerHandlers
   readonly clock: Clock
@@ -56,50 +56,51 @@
   readonly metrics: Metrics
 }
 
-interface Active {
+interface ActiveGrant {
   readonly shard: ShardKey
   readonly grant: Grant
-  readonly abort: AbortController
+  readonly abortController: AbortController
 }
 
-const RENEW_MS = 4000
-const RPC_MARGIN_MS = 500
+const RENEWAL_INTERVAL_MS = 4000
+const RPC_TIMEOUT_MARGIN_MS = 500
 const RELEASE_TIMEOUT_MS = 1000
-const HOME_MOVED_PAUSE_MS = 50
+const HOME_MOVED_RETRY_DELAY_MS = 50
 
 export class GrantClient implements Disposable {
-  private readonly active = new Map<string, Active>()
-  private readonly asking = new Set<string>()
-  /** Slots asked back before the answer that grants them was read. */
-  private readonly revokedEarly = new Set<string>()
-  private readonly heard = new Map<ShardKey, number>()
+  private readonly active = new Map<string, ActiveGrant>()
+  private readonly pendingGrantIds = new Set<string>()
+  /** Grants that were revoked before the answer that grants them was read. */
+  private readonly revokedBeforeGranted = new Set<string>()
+  private readonly receivedPressures = new Map<ShardKey, number>()
   private readonly disposables = new DisposableStore()
   private readonly host: HostId
   private readonly place: Place
 
-  constructor (private readonly services: GrantClientServices, private readonly grantUseMs: number) {
+  constructor (private readonly services: GrantClientServices, private readonly maxStartDelayMs: number) {
     this.host = services.membership.self.host
     this.place = services.membership.self.place
     services.handlers.handle('admission.revoke', async ({ grant }) => { this.revoke(grant); return null })
-    this.disposables.add(services.clock.every(RENEW_MS, () => { this.renewAll() }))
+    this.disposables.add(services.clock.every(RENEWAL_INTERVAL_MS, () => { this.renewAll() }))
     this.disposables.add(services.membership.onChange(() => { this.renewAll() }))
   }
 
-  get inUse (): number {
+  get inUseCount (): number {
     return this.active.size
   }
 
   /**
-   * Asks the shards of a pool for a slot: first all of them for one that is free now, then for a
-   * place in a queue. Who queues at the first shard at once waits there while another has free slots.
+   * Requests a slot from the shards of a pool: first from each of them a slot that is free now, then a
+   * position in a queue. Otherwise a request would queue at the first shard while another shard has
+   * free slots.
    */
-  async acquire (wish: GrantWish): Promise<Result<HeldGrant>> {
-    const shards = this.orderedShards(wish.pool)
+  async acquire (slotRequest: SlotRequest): Promise<Result<HeldGrant>> {
+    const shards = this.orderedShards(slotRequest.pool)
     if (shards.length > 1) {
-      const free = await this.firstThatGrants(shards, wish, true)
-      if (free.ok) return free
+      const freeSlot = await this.acquireFromFirst(shards, slotRequest, true)
+      if (freeSlot.ok) return freeSlot
     }
-    return await this.firstThatGrants(this.orderedShards(wish.pool), wish, false)
+    return await this.acquireFromFirst(this.orderedShards(slotRequest.pool), slotRequest, false)
   }
 
   private orderedShards (pool: PoolName): ShardKey[] {
@@ -108,27 +109,27 @@
     return orderShards(views, this.place, this.services.chance).map(({ shard }) => shard)
   }
 
-  private async firstThatGrants (shards: readonly ShardKey[], wish: GrantWish, onlyFree: boolean): Promise<Result<HeldGrant>> {
-    let refused: Failure = failure('noTarget', `pool ${wish.pool} has no targets`, { retryAfterMs: 1000 })
+  private async acquireFromFirst (shards: readonly ShardKey[], slotRequest: SlotRequest, onlyIfFree: boolean): Promise<Result<HeldGrant>> {
+    let lastRefusal: Failure = failure('noTarget', `pool ${slotRequest.pool} has no targets`, { retryAfterMs: 1000 })
     for (const shard of shards) {
-      const answer = await this.acquireFrom(shard, wish, onlyFree)
+      const answer = await this.acquireFrom(shard, slotRequest, onlyIfFree)
       if (answer.ok) return answer
-      refused = worse(refused, answer)
-      if (wish.signal?.aborted === true || this.services.clock.monotonic() >= wish.until) break
+      lastRefusal = moreInformative(lastRefusal, answer)
+      if (slotRequest.signal?.aborted === true || this.services.clock.monotonic() >= slotRequest.deadline) break
     }
-    return refused
+    return lastRefusal
   }
 
   /**
-   * Gives a grant of this host back because its home wants it for something more urgent. The home's
-   * wish can overtake its own answer on another connection, so one that is not known yet is kept.
+   * Revokes a grant of this host, whose slot the home needs for more urgent work. The revocation can
+   * overtake the answer that grants the slot on another connection, so it is kept while that answer is pending.
    */
   revoke (grant: string): void {
     const active = this.active.get(grant)
     if (active !== undefined) {
-      active.abort.abort()
-    } else if (this.asking.has(grant)) {
-      this.revokedEarly.add(grant)
+      active.abortController.abort()
+    } else if (this.pendingGrantIds.has(grant)) {
+      this.revokedBeforeGranted.add(grant)
     }
   }
 
@@ -137,103 +138,104 @@
   }
 
   private pressureOf (shard: ShardKey): number {
-    return this.services.membership.pressureOf(shard) ?? this.heard.get(shard) ?? 0
+    return this.services.membership.pressureOf(shard) ?? this.receivedPressures.get(shard) ?? 0
   }
 
-  private async acquireFrom (shard: ShardKey, wish: GrantWish, onlyFree: boolean): Promise<Result<HeldGrant>> {
+  private async acquireFrom (shard: ShardKey, slotRequest: SlotRequest, onlyIfFree: boolean): Promise<Result<HeldGrant>> {
     for (;;) {
-      const remaining = wish.until - this.services.clock.monotonic()
-      if (remaining <= 0 || wish.signal?.aborted === true) return failure('deadlineExceeded', 'no slot came free before the deadline', { retryAfterMs: 500 })
-      const home = this.services.homes.ofShard(shard)
-      if (home === undefined) return failure('noTarget', 'no host is home of the shard', { retryAfterMs: 1000 })
-      const request = this.requestFor(wish, onlyFree ? 0 : remaining)
-      this.asking.add(request.grant)
-      const answer = await this.ask(shard, home.host, home.address, request, wish.signal)
-      this.asking.delete(request.grant)
-      const revoked = this.revokedEarly.delete(request.grant)
+      const remainingMs = slotRequest.deadline - this.services.clock.monotonic()
+      if (remainingMs <= 0 || slotRequest.signal?.aborted === true) return failure('deadlineExceeded', 'no slot became free before the deadline', { retryAfterMs: 500 })
+      const home = this.services.homes.homeOfShard(shard)
+      if (home === undefined) return failure('noTarget', `no host is available as home of shard ${shard}`, { retryAfterMs: 1000 })
+      const request = this.toAcquireRequest(slotRequest, onlyIfFree ? 0 : remainingMs)
+      this.pendingGrantIds.add(request.grant)
+      const answer = await this.sendAcquire(shard, home.host, home.address, request, slotRequest.signal)
+      this.pendingGrantIds.delete(request.grant)
+      const wasRevoked = this.revokedBeforeGranted.delete(request.grant)
       if (answer === 'home-moved') {
-        if (onlyFree) return failure('noTarget', 'the home of the shard does not answer', { retryAfterMs: 500 })
-        await pause(this.services.clock, HOME_MOVED_PAUSE_MS)
+        if (onlyIfFree) return failure('noTarget', `the home of shard ${shard} does not answer`, { retryAfterMs: 500 })
+        await pause(this.services.clock, HOME_MOVED_RETRY_DELAY_MS)
         continue
       }
-      return this.take(shard, request, answer, revoked)
+      return this.handleAnswer(shard, request, answer, wasRevoked)
     }
   }
 
-  private requestFor (wish: GrantWish, maximumWaitMs: number): AcquireRequest {
-    const { pool: _pool, until: _until, signal: _signal, ...wanted } = wish
-    return { ...wanted, grant: this.services.chance.id(), holder: this.host, maximumWaitMs }
+  private toAcquireRequest (slotRequest: SlotRequest, maximumWaitMs: number): AcquireRequest {
+    const { pool: _pool, deadline: _deadline, signal: _signal, ...wireFields } = slotRequest
+    return { ...wireFields, grant: this.services.chance.id(), holder: this.host, maximumWaitMs }
   }
 
-  private async ask (shard: ShardKey, home: HostId, address: string, request: AcquireRequest, signal: AbortSignal | undefined): Promise<AcquireAnswer | 'home-moved'> {
-    const answered = home === this.host
-      ? this.services.local.acquire(shard, request)
-      : this.askPeer(shard, home, address, request)
-    const moved = new DisposableStore()
-    const left = new Promise<'home-moved'>((resolve) => {
-      const check = (): void => { if (this.services.homes.ofShard(shard)?.host !== home) resolve('home-moved') }
-      moved.add(this.services.membership.onChange(check))
-      if (signal !== undefined) moved.add(onAbort(signal, () => { resolve('home-moved') }))
+  /** Sends a request to the home of a shard. Resolves to `home-moved` if the home changes or does not answer, or if the request is cancelled. */
+  private async sendAcquire (shard: ShardKey, home: HostId, address: string, request: AcquireRequest, signal: AbortSignal | undefined): Promise<AcquireAnswer | 'home-moved'> {
+    const pendingAnswer = home === this.host
+      ? this.services.localAdmission.acquire(shard, request)
+      : this.acquireFromPeer(shard, home, address, request)
+    const subscriptions = new DisposableStore()
+    const homeMoved = new Promise<'home-moved'>((resolve) => {
+      const check = (): void => { if (this.services.homes.homeOfShard(shard)?.host !== home) resolve('home-moved') }
+      subscriptions.add(this.services.membership.onChange(check))
+      if (signal !== undefined) subscriptions.add(onAbort(signal, () => { resolve('home-moved') }))
       check()
     })
-    const answer = await Promise.race([answered, left])
-    moved.dispose()
+    const answer = await Promise.race([pendingAnswer, homeMoved])
+    subscriptions.dispose()
     if (answer === 'home-moved') {
-      answered.then((late) => { if (late !== 'home-moved' && late.type === 'granted') this.giveBack(shard, request.grant) }, () => undefined)
-      this.giveBack(shard, request.grant, address)
+      pendingAnswer.then((lateAnswer) => { if (lateAnswer !== 'home-moved' && lateAnswer.type === 'granted') this.releaseGrant(shard, request.grant) }, () => undefined)
+      this.releaseGrant(shard, request.grant, address)
     }
     return answer
   }
 
-  private async askPeer (shard: ShardKey, home: HostId, address: string, request: AcquireRequest): Promise<AcquireAnswer | 'home-moved'> {
-    const answer = await this.services.peers.call(address, 'admission.acquire', { shard, request }, request.maximumWaitMs + RPC_MARGIN_MS)
+  private async acquireFromPeer (shard: ShardKey, home: HostId, address: string, request: AcquireRequest): Promise<AcquireAnswer | 'home-moved'> {
+    const answer = await this.services.peers.call(address, 'admission.acquire', { shard, request }, request.maximumWaitMs + RPC_TIMEOUT_MARGIN_MS)
     if (answer.ok) return answer.value
     this.services.metrics.count('admission.home_silent')
-    this.services.membership.doubt(home)
+    this.services.membership.probeNow(home)
     return 'home-moved'
   }
 
-  private take (shard: ShardKey, request: AcquireRequest, answer: AcquireAnswer, revoked: boolean): Result<HeldGrant> {
-    this.heard.set(shard, answer.pressure)
+  private handleAnswer (shard: ShardKey, request: AcquireRequest, answer: AcquireAnswer, revoked: boolean): Result<HeldGrant> {
+    this.receivedPressures.set(shard, answer.pressure)
     if (answer.type === 'refused') return answer.reason
-    const abort = new AbortController()
-    if (revoked) abort.abort()
-    this.active.set(request.grant, { shard, grant: answer.grant, abort })
+    const abortController = new AbortController()
+    if (revoked) abortController.abort()
+    this.active.set(request.grant, { shard, grant: answer.grant, abortController })
     let released = false
     return success({
       target: answer.grant.target,
       address: answer.address,
-      useBefore: this.services.clock.monotonic() + this.grantUseMs,
-      revoked: abort.signal,
+      useBefore: this.services.clock.monotonic() + this.maxStartDelayMs,
+      revoked: abortController.signal,
       release: () => {
         if (released) return
         released = true
         this.active.delete(request.grant)
-        this.giveBack(shard, request.grant)
+        this.releaseGrant(shard, request.grant)
       }
     })
   }
 
-  private giveBack (shard: ShardKey, grant: string, address?: string): void {
-    const home = this.services.homes.ofShard(shard)
+  private releaseGrant (shard: ShardKey, grant: string, address?: string): void {
+    const home = this.services.homes.homeOfShard(shard)
     if (address === undefined && home?.host === this.host) {
-      this.services.local.release(shard, grant)
+      this.services.localAdmission.release(shard, grant)
       return
     }
-    const to = address ?? home?.address
-    if (to === undefined) return
-    const send = async (): Promise<boolean> => (await this.services.peers.call(to, 'admission.release', { shard, grant }, RELEASE_TIMEOUT_MS)).ok
-    send().then(async (done) => { if (!done) await send() }).catch(() => undefined)
+    const homeAddress = address ?? home?.address
+    if (homeAddress === undefined) return
+    const send = async (): Promise<boolean> => (await this.services.peers.call(homeAddress, 'admission.release', { shard, grant }, RELEASE_TIMEOUT_MS)).ok
+    send().then(async (isDelivered) => { if (!isDelivered) await send() }).catch(() => undefined)
   }
 
-  /** Tells the homes, also new ones, which of their slots are in use here. */
+  /** Reports the slots in use on this host to their homes, including new homes. */
   private renewAll (): void {
     const byShard = new Map<ShardKey, Grant[]>()
     for (const { shard, grant } of this.active.values()) byShard.set(shard, [...byShard.get(shard) ?? [], grant])
     for (const [shard, grants] of byShard) {
-      const home = this.services.homes.ofShard(shard)
+      const home = this.services.homes.homeOfShard(shard)
       if (home === undefined) continue
-      if (home.host === this.host) this.services.local.renew(shard, grants)
+      if (home.host === this.host) this.services.localAdmission.renew(shard, grants)
       else this.services.peers.call(home.address, 'admission.renew', { shard, grants }, RELEASE_TIMEOUT_MS).catch(() => undefined)
     }
   }
@@ -244,8 +246,8 @@
   return toDisposable(() => { signal.removeEventListener('abort', listener) })
 }
 
-/** Of two refusals the one that tells the caller more: a full shard before an empty one. */
-function worse (first: Failure, second: Failure): Failure {
+/** Returns the refusal that is more useful to the caller: one of a full shard rather than `noTarget`, and the one with the shorter retry delay. */
+function moreInformative (first: Failure, second: Failure): Failure {
   if (first.code !== 'noTarget') return (second.retryAfterMs ?? Infinity) < (first.retryAfterMs ?? Infinity) && second.code !== 'noTarget' ? second : first
   return second
 }
--- a/src/actors/common/routing/homes.ts
+++ b/src/actors/common/routing/homeResolver.ts
@@ -1,4 +1,4 @@
-/** Which host is the home of what, by this host's view of the members. */
+/** Determines which host is the home of a shard, a subscription or the checkpoints, based on this host's view of the members. */
 
 import type { ShardKey, SubscriptionName } from '../../../base/common/ids.ts'
 import { shardParts } from '../../../base/common/ids.ts'
@@ -7,21 +7,21 @@
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { MembershipView } from '../membership/membership.ts'
 
-export class Homes {
+export class HomeResolver {
   constructor (private readonly membership: MembershipView, private readonly hash: Hash) {}
 
-  /** Home of a shard: admits to its targets and sends them orders. */
-  ofShard (shard: ShardKey): Member | undefined {
+  /** Returns the home of a shard, which admits requests to its targets and sends them orders. */
+  homeOfShard (shard: ShardKey): Member | undefined {
     return findHome(this.hash, `shard ${shard}`, this.candidates(), shardParts(shard).place)
   }
 
-  /** Home of a subscription: starts its rollouts. */
-  ofSubscription (subscription: SubscriptionName): Member | undefined {
+  /** Returns the home of a subscription, which starts its rollouts. */
+  homeOfSubscription (subscription: SubscriptionName): Member | undefined {
     return findHome(this.hash, `subscription ${subscription}`, this.candidates())
   }
 
-  /** The host that writes checkpoints. */
-  ofCheckpoints (): Member | undefined {
+  /** Returns the host that writes checkpoints. */
+  homeOfCheckpoints (): Member | undefined {
     return findHome(this.hash, 'checkpoints', this.candidates())
   }
 
@@ -29,7 +29,7 @@
     return member?.host === this.membership.self.host
   }
 
-  /** Hosts that leave keep their homes only where nobody else is left. */
+  /** Returns the hosts that may be homes. Leaving hosts qualify only if no other host is available. */
   private candidates (): Member[] {
     const available = this.membership.available()
     return available.length > 0 ? available : this.membership.members().filter((member) => member.status === 'leaving')
--- a/src/actors/common/routing/shardHomes.ts
+++ b/src/actors/common/routing/shardAdmissionServer.ts
@@ -1,7 +1,7 @@
 /**
- * The home side of admission: holds a `ShardAdmission` for each shard that hosts ask this one for,
- * and carries out what it decides. Serves whoever asks: a host that sees other members may name
- * this one as home, and refusing would only cost a round.
+ * Home side of admission: holds a `ShardAdmission` for each shard that is requested from this host,
+ * and applies its decisions. It serves every request: a host with a different view of the members may
+ * take this host for the home, and a refusal would only cost another round trip.
  */
 
 import type { HostId, ShardKey, TargetName } from '../../../base/common/ids.ts'
@@ -27,7 +27,7 @@
   | { readonly type: 'members-changed' }
   | { readonly type: 'tick' }
 
-export interface ShardHomesServices {
+export interface ShardAdmissionServerServices {
   readonly system: TaskSystem
   readonly fold: FoldView
   readonly directory: TargetDirectory
@@ -36,31 +36,31 @@
   readonly handlers: PeerHandlers
   readonly clock: Clock
   readonly metrics: Metrics
-  /** Tells a holder on this host to give a grant back. */
-  readonly revokeHere: (grant: string) => void
+  /** Revokes a grant whose holder is this host. */
+  readonly revokeLocally: (grant: string) => void
 }
 
-const TICK_MS = 50
+const EXPIRY_INTERVAL_MS = 50
 const REVOKE_TIMEOUT_MS = 1000
 
-export class ShardHomes extends Task<Message> {
-  private readonly shards = new Map<ShardKey, ShardAdmission>()
-  private readonly replies = new Map<string, Reply>()
-  private deadHolders = new Set<HostId>()
+export class ShardAdmissionServer extends Task<Message> {
+  private readonly admissions = new Map<ShardKey, ShardAdmission>()
+  private readonly pendingReplies = new Map<string, Reply>()
+  private knownDeadHosts = new Set<HostId>()
 
-  constructor (private readonly services: ShardHomesServices) {
+  constructor (private readonly services: ShardAdmissionServerServices) {
     super(services.system, 'shard-homes', services.metrics)
     const { handlers } = services
     handlers.handle('admission.acquire', async ({ shard, request }) => await this.acquire(shard, request))
     handlers.handle('admission.release', async ({ shard, grant }) => { this.tell({ type: 'release', shard, grant }); return null })
     handlers.handle('admission.renew', async ({ shard, grants }) => { this.tell({ type: 'renew', shard, grants }); return null })
-    this.disposables.add(services.clock.every(TICK_MS, () => { this.tell({ type: 'tick' }) }))
+    this.disposables.add(services.clock.every(EXPIRY_INTERVAL_MS, () => { this.tell({ type: 'tick' }) }))
     this.disposables.add(services.fold.onChange(() => { this.tell({ type: 'targets-changed' }) }))
     this.disposables.add(services.directory.onChange(() => { this.tell({ type: 'targets-changed' }) }))
     this.disposables.add(services.membership.onChange(() => { this.tell({ type: 'members-changed' }) }))
   }
 
-  /** Asks for a slot of a shard that this host is home of. */
+  /** Requests a slot of a shard whose home is this host. */
   async acquire (shard: ShardKey, request: AcquireRequest): Promise<AcquireAnswer> {
     return await new Promise((resolve) => { this.tell({ type: 'acquire', shard, request, reply: resolve }) })
   }
@@ -73,85 +73,85 @@
     this.tell({ type: 'renew', shard, grants })
   }
 
-  /** Pressure of each shard that is asked for here. */
+  /** Returns the finite pressures of the shards that are served here. */
   pressures (): Record<string, number> {
     const pressures: Record<string, number> = {}
-    for (const [shard, admission] of this.shards) {
+    for (const [shard, admission] of this.admissions) {
       if (Number.isFinite(admission.pressure)) pressures[shard] = Math.round(admission.pressure * 1000) / 1000
     }
     return pressures
   }
 
-  /** Grants out on a target, as this host counts them. */
+  /** Returns the number of grants on a target according to this host. */
   runningOn (shard: ShardKey, target: TargetName): number {
-    return this.shards.get(shard)?.runningOn(target) ?? 0
+    return this.admissions.get(shard)?.runningOn(target) ?? 0
   }
 
   protected override receive (message: Message): void {
     const now = this.services.clock.monotonic()
     switch (message.type) {
-      case 'acquire': this.startAcquire(message.shard, message.request, message.reply, now); break
+      case 'acquire': this.handleAcquire(message.shard, message.request, message.reply, now); break
       case 'release':
-        this.replies.delete(message.grant)
-        this.carryOut(message.shard, this.shards.get(message.shard)?.release(message.grant, now) ?? [])
+        this.pendingReplies.delete(message.grant)
+        this.applyDecisions(message.shard, this.admissions.get(message.shard)?.release(message.grant, now) ?? [])
         break
       case 'renew': this.admission(message.shard, now).renew(message.grants, now); break
       case 'targets-changed': this.refreshTargets(now); break
-      case 'members-changed': this.dropDead(now); break
+      case 'members-changed': this.dropDeadHolders(now); break
       case 'tick': this.expire(now); break
       default: unreachable(message)
     }
   }
 
-  private startAcquire (shard: ShardKey, request: AcquireRequest, reply: Reply, now: number): void {
+  private handleAcquire (shard: ShardKey, request: AcquireRequest, reply: Reply, now: number): void {
     const admission = this.admission(shard, now)
-    this.replies.set(request.grant, reply)
-    this.carryOut(shard, admission.acquire(request, now))
+    this.pendingReplies.set(request.grant, reply)
+    this.applyDecisions(shard, admission.acquire(request, now))
   }
 
   private admission (shard: ShardKey, now: number): ShardAdmission {
-    const existing = this.shards.get(shard)
+    const existing = this.admissions.get(shard)
     if (existing !== undefined) return existing
     const admission = new ShardAdmission()
     admission.setTargets(this.services.directory.targets(shard), now)
-    this.shards.set(shard, admission)
+    this.admissions.set(shard, admission)
     return admission
   }
 
   private refreshTargets (now: number): void {
-    for (const [shard, admission] of this.shards) {
-      this.carryOut(shard, admission.setTargets(this.services.directory.targets(shard), now))
+    for (const [shard, admission] of this.admissions) {
+      this.applyDecisions(shard, admission.setTargets(this.services.directory.targets(shard), now))
     }
   }
 
-  private dropDead (now: number): void {
+  private dropDeadHolders (now: number): void {
     const dead = new Set(this.services.membership.members().filter((member) => member.status === 'dead').map((member) => member.host))
-    const fresh = [...dead].filter((host) => !this.deadHolders.has(host))
-    this.deadHolders = dead
-    for (const host of fresh) {
-      for (const [shard, admission] of this.shards) this.carryOut(shard, admission.removeHolder(host, now))
+    const newlyDead = [...dead].filter((host) => !this.knownDeadHosts.has(host))
+    this.knownDeadHosts = dead
+    for (const host of newlyDead) {
+      for (const [shard, admission] of this.admissions) this.applyDecisions(shard, admission.removeHolder(host, now))
     }
   }
 
   private expire (now: number): void {
-    for (const [shard, admission] of this.shards) {
-      this.carryOut(shard, admission.expire(now))
-      const unused = admission.queueLength === 0 && admission.runningCount === 0
-      if (unused && this.services.directory.configured(shard).length === 0) this.shards.delete(shard)
+    for (const [shard, admission] of this.admissions) {
+      this.applyDecisions(shard, admission.expire(now))
+      const isUnused = admission.queueLength === 0 && admission.runningCount === 0
+      if (isUnused && this.services.directory.configured(shard).length === 0) this.admissions.delete(shard)
     }
   }
 
-  private carryOut (shard: ShardKey, decisions: readonly AdmissionDecision[]): void {
-    const pressure = this.shards.get(shard)?.pressure ?? 0
+  private applyDecisions (shard: ShardKey, decisions: readonly AdmissionDecision[]): void {
+    const pressure = this.admissions.get(shard)?.pressure ?? 0
     for (const decision of decisions) {
       switch (decision.type) {
         case 'granted':
           this.services.metrics.count('admission.granted')
-          this.answer(decision.grant.grant, { type: 'granted', grant: decision.grant, address: decision.address, pressure })
+          this.sendReply(decision.grant.grant, { type: 'granted', grant: decision.grant, address: decision.address, pressure })
           break
         case 'refused':
           this.services.metrics.count('admission.refused')
-          this.answer(decision.grant, { type: 'refused', reason: decision.reason, pressure: Number.isFinite(pressure) ? pressure : 1000 })
+          this.sendReply(decision.grant, { type: 'refused', reason: decision.reason, pressure: Number.isFinite(pressure) ? pressure : 1000 })
           break
         case 'revoke': this.revoke(decision.grant); break
         default: unreachable(decision)
@@ -159,16 +159,16 @@
     }
   }
 
-  private answer (grant: string, answer: AcquireAnswer): void {
-    this.replies.get(grant)?.(answer)
-    this.replies.delete(grant)
+  private sendReply (grant: string, answer: AcquireAnswer): void {
+    this.pendingReplies.get(grant)?.(answer)
+    this.pendingReplies.delete(grant)
   }
 
   private revoke (grant: Grant): void {
     this.services.metrics.count('admission.revoked')
     const { membership, peers } = this.services
     if (grant.holder === membership.self.host) {
-      this.services.revokeHere(grant.grant)
+      this.services.revokeLocally(grant.grant)
       return
     }
     const holder = membership.members().find((member) => member.host === grant.holder)
--- a/src/actors/common/samples/payloads.ts
+++ b/src/actors/common/samples/payloadStore.ts
@@ -1,6 +1,6 @@
 /**
- * Reading and writing of payloads. The newest entries are kept, bounded by their size, as a home
- * reads each group's prompt once for every sample.
+ * Reads and writes payloads. The newest entries are cached up to a total size, because a home reads
+ * the prompt of each group once per sample.
  */
 
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -9,12 +9,12 @@
 import { decodePayload, encodePayload, referencesTo } from '../../../core/common/samples/payload.ts'
 import type { Log } from '../../../ports/common/log.ts'
 
-const CACHE_CHARACTERS = 4_000_000
-const PARALLEL_READS = 8
+const MAX_CACHE_CHARACTERS = 4_000_000
+const MAX_PARALLEL_READS = 8
 
-export class Payloads {
+export class PayloadStore {
   private readonly cache = new Map<number, readonly string[]>()
-  private cached = 0
+  private cachedCharacters = 0
 
   constructor (private readonly log: Log) {}
 
@@ -22,11 +22,10 @@
   async append (items: readonly string[]): Promise<Result<PayloadReference[]>> {
     const appended = await this.log.append('payload', encodePayload(items))
     if (!appended.ok) return appended
-    this.keep(appended.value, items)
+    this.addToCache(appended.value, items)
     return success(referencesTo(appended.value, items))
   }
 
-  /** Reads one text. */
   async read (reference: PayloadReference): Promise<Result<string>> {
     const items = this.cache.get(reference.offset) ?? await this.fetch(reference.offset)
     if ('ok' in items) return items
@@ -34,22 +33,22 @@
     return text === undefined ? failure('logUnavailable', `payload ${reference.offset} has no item ${reference.item}`) : success(text)
   }
 
-  /** Reads many texts, a few entries at a time; fails if one cannot be read now. */
+  /** Reads many texts, a few entries in parallel; fails if one of them cannot be read at present. */
   async readAll (references: readonly PayloadReference[]): Promise<Result<string[]>> {
     const offsets = [...new Set(references.map(({ offset }) => offset))]
     const entries = new Map<number, readonly string[]>()
-    let failed: Result<never> | undefined
+    let firstFailure: Result<never> | undefined
     const worker = async (): Promise<void> => {
-      for (let offset = offsets.pop(); offset !== undefined && failed === undefined; offset = offsets.pop()) {
+      for (let offset = offsets.pop(); offset !== undefined && firstFailure === undefined; offset = offsets.pop()) {
         const items = this.cache.get(offset) ?? await this.fetch(offset)
-        if ('ok' in items) failed = items
+        if ('ok' in items) firstFailure = items
         else entries.set(offset, items)
       }
     }
-    await Promise.all(Array.from({ length: PARALLEL_READS }, worker))
-    if (failed !== undefined) return failed
+    await Promise.all(Array.from({ length: MAX_PARALLEL_READS }, worker))
+    if (firstFailure !== undefined) return firstFailure
     const texts = references.map(({ offset, item }) => entries.get(offset)?.[item])
-    return texts.every((text) => text !== undefined) ? success(texts) : failure('logUnavailable', 'a payload lacks an item')
+    return texts.every((text) => text !== undefined) ? success(texts) : failure('logUnavailable', 'a payload has no item of the requested index')
   }
 
   private async fetch (offset: number): Promise<readonly string[] | ReturnType<typeof failure>> {
@@ -58,22 +57,22 @@
     const entry = page.value.entries[0]
     const items = entry?.offset === offset ? decodePayload(entry.data) : undefined
     if (items === undefined) return failure('logUnavailable', `payload ${offset} is not in the log`, { retryAfterMs: 1000 })
-    this.keep(offset, items)
+    this.addToCache(offset, items)
     return items
   }
 
-  private keep (offset: number, items: readonly string[]): void {
+  private addToCache (offset: number, items: readonly string[]): void {
     if (this.cache.has(offset)) return
     this.cache.set(offset, items)
-    this.cached += characters(items)
-    for (const [oldest, old] of this.cache) {
-      if (this.cached <= CACHE_CHARACTERS) break
-      this.cache.delete(oldest)
-      this.cached -= characters(old)
+    this.cachedCharacters += countCharacters(items)
+    for (const [oldestOffset, oldestItems] of this.cache) {
+      if (this.cachedCharacters <= MAX_CACHE_CHARACTERS) break
+      this.cache.delete(oldestOffset)
+      this.cachedCharacters -= countCharacters(oldestItems)
     }
   }
 }
 
-function characters (items: readonly string[]): number {
+function countCharacters (items: readonly string[]): number {
   return items.reduce((sum, item) => sum + item.length, 0)
 }
--- a/src/actors/common/samples/rolloutRunner.ts
+++ b/src/actors/common/samples/rolloutRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one rollout: waits for a slot, streams, gives the slot back when it is wanted for something
- * more urgent and goes on later from the token where it stood, then has the sample scored.
+ * Runs one rollout: waits for a slot, streams the completion, and has the sample scored. If the slot
+ * is revoked for more urgent work, the rollout releases it and later resumes from the last token.
  */
 
 import { Semaphore } from '../../../base/common/semaphore.ts'
@@ -16,7 +16,7 @@
 import type { CompletionStream, Engine, Scorer } from '../../../ports/common/targets.ts'
 import type { FoldView } from '../log/controlLog.ts'
 import type { GrantClient, HeldGrant } from '../routing/grantClient.ts'
-import type { Payloads } from './payloads.ts'
+import type { PayloadStore } from './payloadStore.ts'
 
 /** A rollout to run. */
 export interface RolloutTask {
@@ -24,13 +24,13 @@
   readonly pool: PoolName
   readonly share: number
   readonly maximumTokens: number
-  /** Lowest version of use to the trainer, as things stand now. */
+  /** Returns the lowest weight version that the trainer currently accepts. */
   readonly minimumVersion: () => number
   readonly prompt: PayloadReference
-  /** Filled as parts come; kept by the caller. */
+  /** Receives the parts of the completion; owned by the caller. */
   readonly progress: RolloutProgress
-  /** Targets that this slot has been tried on; the newest is added. */
-  readonly tried: TargetName[]
+  /** Targets on which this sample has been tried. The runner adds each target that it uses. */
+  readonly triedTargets: TargetName[]
   readonly signal: AbortSignal
 }
 
@@ -38,7 +38,7 @@
   readonly grants: GrantClient
   readonly engine: Engine
   readonly scorer: Scorer | undefined
-  readonly payloads: Payloads
+  readonly payloads: PayloadStore
   readonly fold: FoldView
   readonly clock: Clock
   readonly chance: Chance
@@ -46,39 +46,39 @@
   readonly metrics: Metrics
 }
 
-/** Priority of rollouts at the engines: below all lanes. */
+/** Priority of rollouts at the engines, below that of all lanes. */
 const ROLLOUT_PRIORITY = 10
-const RETRY_MS = 200
+const RETRY_DELAY_MS = 200
 const PREFIX_CHARACTERS = 256
-/** Rollouts that wait for a slot at once; one waiting for each slot that may come free is enough. */
-const WAITING_FOR_SLOTS = 32
+/** Maximum number of rollouts that wait for a slot at the same time; one for each slot that may become free is enough. */
+const MAX_WAITING_FOR_SLOTS = 32
 
-/** Hash of a prompt's beginning: prompts that share it share an engine's cached prefix. */
-export function prefixOf (hash: Hash, prompt: string): string {
+/** Returns the hash of the beginning of a prompt; prompts with the same hash can share the cached prefix of an engine. */
+export function prefixHashOf (hash: Hash, prompt: string): string {
   return hash.digest(prompt.slice(0, PREFIX_CHARACTERS))
 }
 
 export class RolloutRunner {
-  private readonly waiting = new Semaphore(WAITING_FOR_SLOTS)
+  private readonly waiting = new Semaphore(MAX_WAITING_FOR_SLOTS)
 
-  constructor (private readonly services: RolloutRunnerServices, private readonly waitMs: number) {}
+  constructor (private readonly services: RolloutRunnerServices, private readonly maxSlotWaitMs: number) {}
 
-  /** Runs to the end and gives the score; fails only when aborted. */
+  /** Runs a rollout to its end and returns the score; fails only if it is aborted. */
   async run (task: RolloutTask): Promise<Result<number>> {
-    const exclude: TargetName[] = [...task.tried]
+    const exclude: TargetName[] = [...task.triedTargets]
     while (!task.signal.aborted) {
       const prompt = await this.services.payloads.read(task.prompt)
       if (!prompt.ok) {
-        await pause(this.services.clock, RETRY_MS)
+        await pause(this.services.clock, RETRY_DELAY_MS)
         continue
       }
-      const finished = await this.attempt(task, prompt.value, exclude)
-      if (finished) return await this.score(task, prompt.value)
+      const isFinished = await this.runAttempt(task, prompt.value, exclude)
+      if (isFinished) return await this.score(task, prompt.value)
     }
     return failure('cancelled', 'the rollout is no longer wanted')
   }
 
-  private async attempt (task: RolloutTask, prompt: string, exclude: TargetName[]): Promise<boolean> {
+  private async runAttempt (task: RolloutTask, prompt: string, exclude: TargetName[]): Promise<boolean> {
     if (task.signal.aborted) return false
     const grant = await this.waiting.run(async () => await this.services.grants.acquire({
       pool: task.pool,
@@ -88,8 +88,8 @@
       share: task.share,
       caller: task.subscription,
       callerLimit: Number.MAX_SAFE_INTEGER,
-      until: this.services.clock.monotonic() + this.waitMs,
-      prefix: prefixOf(this.services.hash, prompt),
+      deadline: this.services.clock.monotonic() + this.maxSlotWaitMs,
+      prefix: prefixHashOf(this.services.hash, prompt),
       minimumVersion: task.minimumVersion(),
       exclude,
       signal: task.signal
@@ -97,7 +97,7 @@
     if (!grant.ok) {
       if (grant.code === 'noTarget') {
         exclude.length = 0
-        await pause(this.services.clock, RETRY_MS)
+        await pause(this.services.clock, RETRY_DELAY_MS)
       }
       return false
     }
@@ -110,51 +110,51 @@
 
   private async useGrant (task: RolloutTask, prompt: string, grant: HeldGrant, exclude: TargetName[]): Promise<boolean> {
     if (!this.services.fold.fresh || this.services.clock.monotonic() > grant.useBefore) return false
-    task.tried.push(grant.target)
+    task.triedTargets.push(grant.target)
     const { progress } = task
-    const started = await this.services.engine.complete(grant.address, {
+    const streamResult = await this.services.engine.complete(grant.address, {
       requestId: this.services.chance.id(),
       prompt,
       maximumTokens: task.maximumTokens,
       priority: ROLLOUT_PRIORITY,
       ...(progress.tokens === 0 ? {} : { resume: { text: progress.text, tokens: progress.tokens } })
     })
-    if (!started.ok) {
+    if (!streamResult.ok) {
       exclude.push(grant.target)
       return false
     }
-    const outcome = await this.consume(task, started.value, grant.revoked)
+    const outcome = await this.consumeStream(task, streamResult.value, grant.revoked)
     if (outcome === 'broken') exclude.push(grant.target)
     if (outcome === 'preempted') this.services.metrics.count('rollouts.preempted')
     return outcome === 'finished'
   }
 
-  private async consume (task: RolloutTask, stream: CompletionStream, revoked: AbortSignal): Promise<'finished' | 'preempted' | 'broken'> {
+  private async consumeStream (task: RolloutTask, stream: CompletionStream, revoked: AbortSignal): Promise<'finished' | 'preempted' | 'broken'> {
     const cancel = (): void => { stream.cancel() }
-    const ends = [task.signal, revoked]
-    for (const signal of ends) signal.addEventListener('abort', cancel, { once: true })
+    const abortSignals = [task.signal, revoked]
+    for (const signal of abortSignals) signal.addEventListener('abort', cancel, { once: true })
     try {
-      if (ends.some((signal) => signal.aborted)) cancel()
+      if (abortSignals.some((signal) => signal.aborted)) cancel()
       for await (const part of stream.parts) {
         task.progress.add(part)
         if (part.finished) return 'finished'
       }
     } catch {
-      if (ends.some((signal) => signal.aborted)) return 'preempted'
+      if (abortSignals.some((signal) => signal.aborted)) return 'preempted'
     } finally {
-      for (const signal of ends) signal.removeEventListener('abort', cancel)
+      for (const signal of abortSignals) signal.removeEventListener('abort', cancel)
     }
     return 'broken'
   }
 
-  /** A scorer that does not answer must not lose the sample: it is asked until it does. */
+  /** Scores a sample, retrying until the scorer answers, so that a failing scorer does not lose the sample. */
   private async score (task: RolloutTask, prompt: string): Promise<Result<number>> {
     if (this.services.scorer === undefined) return success(0)
     while (!task.signal.aborted) {
       const score = await this.services.scorer.score(prompt, task.progress.text)
       if (score.ok) return score
       this.services.metrics.count('scorer.failed')
-      await pause(this.services.clock, RETRY_MS)
+      await pause(this.services.clock, RETRY_DELAY_MS)
     }
     return failure('cancelled', 'the rollout is no longer wanted')
   }
--- a/src/actors/common/samples/sampleWriter.ts
+++ b/src/actors/common/samples/sampleWriter.ts
@@ -1,8 +1,8 @@
 /**
- * Brings finished samples into the log: their texts as payload, then one record for all that are
- * ready. While the log does not take them they stay here and with one host in another place, which
- * appends them itself should this host die. Appending twice is harmless: the first record of a slot
- * is the sample.
+ * Writes finished samples to the log: first their texts as payload, then one record per subscription
+ * for all samples of a batch. While the log does not accept them, they are held here and by one host
+ * in another failure domain, if there is one, which appends them if this host dies. Appending them
+ * twice has no effect, as the first record of a slot determines the sample.
  */
 
 import type { HostId } from '../../../base/common/ids.ts'
@@ -16,9 +16,9 @@
 import type { MembershipView } from '../membership/membership.ts'
 import type { TaskSystem } from '../task.ts'
 import { Task } from '../task.ts'
-import type { Payloads } from './payloads.ts'
+import type { PayloadStore } from './payloadStore.ts'
 
-/** A sample that is finished and scored. */
+/** A finished and scored sample. */
 export interface FinishedSample {
   readonly subscription: string
   readonly group: string
@@ -28,15 +28,15 @@
   readonly text: string
 }
 
-/** A sample on its way into the log. */
-interface Unrecorded {
+/** A sample that is not yet recorded in the log. */
+interface PendingSample {
   readonly sample: FinishedSample
-  readonly recorded: () => void
+  readonly onRecorded: () => void
 }
 
 export interface SampleWriterServices {
   readonly system: TaskSystem
-  readonly payloads: Payloads
+  readonly payloads: PayloadStore
   readonly appender: Pick<Appender, 'persist'>
   readonly membership: MembershipView
   readonly peers: Peers
@@ -47,32 +47,32 @@
 }
 
 type Message =
-  | { readonly type: 'add', readonly samples: readonly Unrecorded[] }
+  | { readonly type: 'add', readonly samples: readonly PendingSample[] }
   | { readonly type: 'write' }
-  | { readonly type: 'written', readonly batch: readonly Unrecorded[], readonly references: Result<PayloadReference[]> }
-  | { readonly type: 'overdue', readonly batch: readonly Unrecorded[] }
-  | { readonly type: 'recorded', readonly batch: readonly Unrecorded[], readonly taken: boolean }
+  | { readonly type: 'written', readonly batch: readonly PendingSample[], readonly references: Result<PayloadReference[]> }
+  | { readonly type: 'overdue', readonly batch: readonly PendingSample[] }
+  | { readonly type: 'recorded', readonly batch: readonly PendingSample[], readonly taken: boolean }
   | { readonly type: 'kept', readonly host: HostId, readonly id: string, readonly samples: readonly FinishedSample[] | null }
   | { readonly type: 'members-changed' }
 
-const GATHER_MS = 20
-const RETRY_MS = 500
-/** Samples that the log has not taken by then are given to another host too, in milliseconds. */
-const OVERDUE_MS = 1000
-const BATCH_CHARACTERS = 400_000
-const BATCH_SAMPLES = 256
-const KEEP_TIMEOUT_MS = 2000
-/** Samples kept for other hosts, at most; more are refused. */
-const KEPT_BATCHES = 200
+const BATCH_DELAY_MS = 20
+const RETRY_DELAY_MS = 500
+/** Time after which samples that the log has not accepted are also sent to another host. */
+const BACKUP_DELAY_MS = 1000
+const MAX_BATCH_CHARACTERS = 400_000
+const MAX_BATCH_SAMPLES = 256
+const BACKUP_TIMEOUT_MS = 2000
+/** Maximum number of batches held for other hosts; further ones are dropped. */
+const MAX_BACKUP_BATCHES = 200
 
 export class SampleWriter extends Task<Message> {
-  private queue: Unrecorded[] = []
-  private underway: readonly Unrecorded[] = []
-  private unrecorded = 0
+  private queue: PendingSample[] = []
+  private batchInProgress: readonly PendingSample[] = []
+  private unrecordedCount = 0
   private writing = false
-  private due = false
+  private isWriteScheduled = false
   private backup: { readonly id: string, readonly address: string } | undefined
-  private readonly kept = new Map<string, { host: HostId, samples: readonly FinishedSample[] }>()
+  private readonly backupBatches = new Map<string, { host: HostId, samples: readonly FinishedSample[] }>()
 
   constructor (private readonly services: SampleWriterServices) {
     super(services.system, 'sample-writer', services.metrics)
@@ -83,36 +83,36 @@
     this.disposables.add(services.membership.onChange(() => { this.tell({ type: 'members-changed' }) }))
   }
 
-  /** Samples that the log has not confirmed. */
+  /** Number of samples that the log has not confirmed. */
   get backlog (): number {
-    return this.unrecorded
+    return this.unrecordedCount
   }
 
   /**
-   * Takes a finished sample over; it is not lost from here on unless this host and its backup die.
-   * Resolves when the fold holds it, or another sample of its slot.
+   * Accepts a finished sample and resolves when the fold holds it, or another sample of its slot. Once
+   * the sample is backed up, it is lost only if both this host and the backup host die.
    */
   async add (sample: FinishedSample): Promise<void> {
-    this.unrecorded++
-    await new Promise<void>((resolve) => { this.tell({ type: 'add', samples: [{ sample, recorded: resolve }] }) })
+    this.unrecordedCount++
+    await new Promise<void>((resolve) => { this.tell({ type: 'add', samples: [{ sample, onRecorded: resolve }] }) })
   }
 
   protected override receive (message: Message): void {
     switch (message.type) {
-      case 'add': this.queue.push(...message.samples); this.writeSoon(GATHER_MS); break
-      case 'write': this.due = false; this.write(); break
-      case 'written': this.written(message.batch, message.references); break
-      case 'overdue': if (this.underway === message.batch) this.updateBackup(false); break
-      case 'recorded': this.recorded(message.batch, message.taken); break
-      case 'kept': this.keepFor(message.host, message.id, message.samples); break
-      case 'members-changed': this.takeOverFromDead(); break
+      case 'add': this.queue.push(...message.samples); this.scheduleWrite(BATCH_DELAY_MS); break
+      case 'write': this.isWriteScheduled = false; this.write(); break
+      case 'written': this.handlePayloadsAppended(message.batch, message.references); break
+      case 'overdue': if (this.batchInProgress === message.batch) this.updateBackup(false); break
+      case 'recorded': this.handleRecorded(message.batch, message.taken); break
+      case 'kept': this.keepBackup(message.host, message.id, message.samples); break
+      case 'members-changed': this.takeOverFromDeadHosts(); break
       default: unreachable(message)
     }
   }
 
-  private writeSoon (delayMs: number): void {
-    if (this.due || this.writing) return
-    this.due = true
+  private scheduleWrite (delayMs: number): void {
+    if (this.isWriteScheduled || this.writing) return
+    this.isWriteScheduled = true
     this.services.clock.after(delayMs, () => { this.tell({ type: 'write' }) })
   }
 
@@ -120,24 +120,24 @@
     if (this.writing || this.queue.length === 0) return
     this.writing = true
     const batch = this.takeBatch()
-    this.underway = batch
-    this.services.clock.after(OVERDUE_MS, () => { this.tell({ type: 'overdue', batch }) })
+    this.batchInProgress = batch
+    this.services.clock.after(BACKUP_DELAY_MS, () => { this.tell({ type: 'overdue', batch }) })
     this.services.payloads.append(batch.map(({ sample }) => sample.text))
       .then((references) => { this.tell({ type: 'written', batch, references }) }, () => { this.tell({ type: 'recorded', batch, taken: false }) })
   }
 
-  private takeBatch (): Unrecorded[] {
+  private takeBatch (): PendingSample[] {
     let characters = 0
     const end = this.queue.findIndex(({ sample }, index) => {
       characters += sample.text.length
-      return index >= BATCH_SAMPLES || (index > 0 && characters > BATCH_CHARACTERS)
+      return index >= MAX_BATCH_SAMPLES || (index > 0 && characters > MAX_BATCH_CHARACTERS)
     })
     return this.queue.splice(0, end === -1 ? this.queue.length : end)
   }
 
-  private written (batch: readonly Unrecorded[], references: Result<PayloadReference[]>): void {
+  private handlePayloadsAppended (batch: readonly PendingSample[], references: Result<PayloadReference[]>): void {
     if (!references.ok) {
-      this.recorded(batch, false)
+      this.handleRecorded(batch, false)
       return
     }
     const bySubscription = new Map<string, RecordOf<'samples'>['items']>()
@@ -156,32 +156,32 @@
     }, () => { this.tell({ type: 'recorded', batch, taken: false }) })
   }
 
-  private recorded (batch: readonly Unrecorded[], taken: boolean): void {
+  private handleRecorded (batch: readonly PendingSample[], isRecorded: boolean): void {
     this.writing = false
-    this.underway = []
-    if (taken) {
-      for (const { recorded } of batch) recorded()
-      this.unrecorded -= batch.length
+    this.batchInProgress = []
+    if (isRecorded) {
+      for (const { onRecorded } of batch) onRecorded()
+      this.unrecordedCount -= batch.length
       this.services.metrics.count('samples.recorded', batch.length)
     } else {
       this.queue.unshift(...batch)
       this.services.metrics.count('samples.held')
     }
-    this.updateBackup(taken)
-    if (this.queue.length > 0) this.writeSoon(taken ? 0 : RETRY_MS)
+    this.updateBackup(isRecorded)
+    if (this.queue.length > 0) this.scheduleWrite(isRecorded ? 0 : RETRY_DELAY_MS)
   }
 
-  /** Gives what the log does not take to a host in another place, and takes it back once it is in. */
-  private updateBackup (taken: boolean): void {
-    if (taken) {
-      if (this.backup !== undefined && this.queue.length === 0) this.tellBackup(this.backup, null)
+  /** Sends samples that the log does not accept to a backup host, preferably in another failure domain, and withdraws them once they are recorded. */
+  private updateBackup (isRecorded: boolean): void {
+    if (isRecorded) {
+      if (this.backup !== undefined && this.queue.length === 0) this.sendBackup(this.backup, null)
       if (this.queue.length === 0) this.backup = undefined
       return
     }
     const address = this.backup?.address ?? this.chooseBackup()
     if (address === undefined) return
     this.backup ??= { id: this.services.chance.id(), address }
-    this.tellBackup(this.backup, JSON.stringify([...this.underway, ...this.queue].map(({ sample }) => sample)))
+    this.sendBackup(this.backup, JSON.stringify([...this.batchInProgress, ...this.queue].map(({ sample }) => sample)))
   }
 
   private chooseBackup (): string | undefined {
@@ -190,27 +190,27 @@
     return (others.find((member) => member.place !== self.place) ?? others[0])?.address
   }
 
-  private tellBackup (backup: { id: string, address: string }, record: string | null): void {
+  private sendBackup (backup: { id: string, address: string }, record: string | null): void {
     const host = this.services.membership.self.host
-    this.services.peers.call(backup.address, 'samples.keep', { id: backup.id, host, record }, KEEP_TIMEOUT_MS).then((answer) => {
+    this.services.peers.call(backup.address, 'samples.keep', { id: backup.id, host, record }, BACKUP_TIMEOUT_MS).then((answer) => {
       if (answer.ok) this.services.metrics.count('samples.backed_up')
       else this.backup = undefined
     }, () => undefined)
   }
 
-  private keepFor (host: HostId, id: string, samples: readonly FinishedSample[] | null): void {
-    if (samples === null) this.kept.delete(id)
-    else if (this.kept.has(id) || this.kept.size < KEPT_BATCHES) this.kept.set(id, { host, samples })
+  private keepBackup (host: HostId, id: string, samples: readonly FinishedSample[] | null): void {
+    if (samples === null) this.backupBatches.delete(id)
+    else if (this.backupBatches.has(id) || this.backupBatches.size < MAX_BACKUP_BATCHES) this.backupBatches.set(id, { host, samples })
   }
 
-  private takeOverFromDead (): void {
-    const status = new Map(this.services.membership.members().map((member) => [member.host, member.status]))
-    for (const [id, { host, samples }] of [...this.kept]) {
-      if (status.has(host) && status.get(host) !== 'dead') continue
-      this.kept.delete(id)
-      this.unrecorded += samples.length
+  private takeOverFromDeadHosts (): void {
+    const statusByHost = new Map(this.services.membership.members().map((member) => [member.host, member.status]))
+    for (const [id, { host, samples }] of [...this.backupBatches]) {
+      if (statusByHost.has(host) && statusByHost.get(host) !== 'dead') continue
+      this.backupBatches.delete(id)
+      this.unrecordedCount += samples.length
       this.services.metrics.count('samples.taken_over', samples.length)
-      this.receive({ type: 'add', samples: samples.map((sample) => ({ sample, recorded: () => undefined })) })
+      this.receive({ type: 'add', samples: samples.map((sample) => ({ sample, onRecorded: () => undefined })) })
     }
   }
 }
--- a/src/actors/common/samples/trainerDesk.ts
+++ b/src/actors/common/samples/trainerService.ts
@@ -1,6 +1,6 @@
 /**
- * What trainers ask for: submission of groups and pulls of samples. Any host answers; what is
- * decided is decided by the fold.
+ * Serves the requests of trainers: submissions of groups and pulls of samples. Any host can answer
+ * them, as all decisions are made by the fold.
  */
 
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -11,7 +11,7 @@
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Appender } from '../log/appender.ts'
 import type { FoldView } from '../log/controlLog.ts'
-import type { Payloads } from './payloads.ts'
+import type { PayloadStore } from './payloadStore.ts'
 
 /** A group as a trainer submits it. */
 export interface SubmittedGroup {
@@ -27,12 +27,12 @@
   readonly cursor: number
   readonly version: number
   readonly maximum: number
-  /** Samples to wait for, as long as the wait allows. */
+  /** Number of samples to wait for, up to the maximum wait. */
   readonly minimum: number
   readonly waitMs: number
 }
 
-/** A sample as a trainer gets it. */
+/** A sample as delivered to a trainer. */
 export interface DeliveredSample {
   readonly group: string
   readonly step: number
@@ -48,23 +48,23 @@
   readonly samples: readonly DeliveredSample[]
 }
 
-export interface TrainerDeskServices {
+export interface TrainerServiceDependencies {
   readonly fold: FoldView
   readonly appender: Pick<Appender, 'decide'>
-  readonly payloads: Payloads
+  readonly payloads: PayloadStore
   readonly clock: Clock
   readonly chance: Chance
   readonly hash: Hash
 }
 
-export class TrainerDesk {
-  constructor (private readonly services: TrainerDeskServices, private readonly verdictWaitMs: number) {}
+export class TrainerService {
+  constructor (private readonly services: TrainerServiceDependencies, private readonly verdictTimeoutMs: number) {}
 
-  /** Records groups; answers only once all are in the fold. Submitting a group again is harmless. */
+  /** Records groups and returns when all of them are in the fold. Submitting a group again is idempotent. */
   async submit (subscription: string, groups: readonly SubmittedGroup[]): Promise<Result<number>> {
     const references = await this.services.payloads.append(groups.map((group) => group.prompt))
-    if (!references.ok) return notTaken(references.message)
-    const decided = await Promise.all(groups.map(async (group, position) => {
+    if (!references.ok) return retryLater(references.message)
+    const verdicts = await Promise.all(groups.map(async (group, position) => {
       const payload = references.value[position] ?? { offset: 0, item: 0 }
       const record: RecordOf<'submit'> = {
         kind: 'submit',
@@ -77,56 +77,56 @@
         digest: this.services.hash.digest(group.prompt),
         payload
       }
-      return await this.services.appender.decide(record, this.verdictWaitMs)
+      return await this.services.appender.decide(record, this.verdictTimeoutMs)
     }))
-    for (const verdict of decided) {
+    for (const verdict of verdicts) {
       if (!verdict.ok) return verdict
       if (!verdict.value.result.ok) return verdict.value.result
     }
     return success(groups.length)
   }
 
-  /** Hands over the next batch, waiting for samples if there are none. */
+  /** Returns the next batch, waiting for samples if there are none. */
   async pull (subscription: string, request: PullRequest): Promise<Result<PulledBatch>> {
-    const until = this.services.clock.monotonic() + request.waitMs
-    let batch = await this.decideWhenDue(subscription, request, until)
-    while (batch.ok && batch.value.groups.length === 0 && this.services.clock.monotonic() < until) {
-      batch = await this.decideWhenDue(subscription, request, until)
+    const deadline = this.services.clock.monotonic() + request.waitMs
+    let batch = await this.pullWhenDue(subscription, request, deadline)
+    while (batch.ok && batch.value.groups.length === 0 && this.services.clock.monotonic() < deadline) {
+      batch = await this.pullWhenDue(subscription, request, deadline)
     }
     if (!batch.ok) return batch
-    return await this.describe(batch.value)
+    return await this.readSamples(batch.value)
   }
 
   /**
-   * A pull is one record. It is written when it has something to acknowledge, when it repeats one
-   * whose answer was lost, or when enough samples wait; not while it would come back empty.
+   * Writes the record of a pull when the pull acknowledges a batch, repeats a pull whose answer was lost,
+   * or when enough samples are ready. No record is written while the pull would return no samples.
    */
-  private async decideWhenDue (subscription: string, request: PullRequest, until: number): Promise<Result<Batch>> {
-    const urgent = (): boolean => {
-      const state = this.state(subscription)
+  private async pullWhenDue (subscription: string, request: PullRequest, deadline: number): Promise<Result<Batch>> {
+    const isUrgent = (): boolean => {
+      const state = this.subscriptionState(subscription)
       return request.cursor !== (state?.acknowledged ?? 0) || state?.handover !== undefined
     }
-    const enough = (): boolean => this.readySamples(subscription) >= request.minimum
-    if (!urgent() && !enough()) await this.waitFor(() => urgent() || enough(), until)
-    if (!urgent() && this.readySamples(subscription) === 0) return success({ nextCursor: request.cursor, groups: [] })
+    const hasEnoughSamples = (): boolean => this.countReadySamples(subscription) >= request.minimum
+    if (!isUrgent() && !hasEnoughSamples()) await this.waitForCondition(() => isUrgent() || hasEnoughSamples(), deadline)
+    if (!isUrgent() && this.countReadySamples(subscription) === 0) return success({ nextCursor: request.cursor, groups: [] })
     const record: RecordOf<'pull'> = { kind: 'pull', ...this.recordBase(), subscription, cursor: request.cursor, version: request.version, maximum: request.maximum }
-    const decided = await this.services.appender.decide(record, this.verdictWaitMs)
-    if (!decided.ok) return notTaken(decided.message)
+    const decided = await this.services.appender.decide(record, this.verdictTimeoutMs)
+    if (!decided.ok) return retryLater(decided.message)
     return decided.value.result as Result<Batch>
   }
 
-  private state (subscription: string): SubscriptionState | undefined {
+  private subscriptionState (subscription: string): SubscriptionState | undefined {
     return this.services.fold.state.subscriptions[subscription]
   }
 
-  private readySamples (subscription: string): number {
-    const state = this.state(subscription)
+  private countReadySamples (subscription: string): number {
+    const state = this.subscriptionState(subscription)
     return (state?.ready ?? []).reduce((sum, name) => sum + (state?.groups[name]?.slots.length ?? 0), 0)
   }
 
-  private async waitFor (condition: () => boolean, until: number): Promise<void> {
+  private async waitForCondition (condition: () => boolean, deadline: number): Promise<void> {
     await new Promise<void>((resolve) => {
-      const timer = this.services.clock.after(Math.max(0, until - this.services.clock.monotonic()), done)
+      const timer = this.services.clock.after(Math.max(0, deadline - this.services.clock.monotonic()), done)
       const listener = this.services.fold.onChange(() => { if (condition()) done() })
       function done (): void {
         timer.dispose()
@@ -136,11 +136,11 @@
     })
   }
 
-  /** If a text cannot be read now the trainer repeats the pull and is given the same batch. */
-  private async describe (batch: Batch): Promise<Result<PulledBatch>> {
+  /** Reads the texts of a batch. If one cannot be read at present, the trainer repeats the pull and receives the same batch. */
+  private async readSamples (batch: Batch): Promise<Result<PulledBatch>> {
     const slots = batch.groups.flatMap(({ group, step, slots }) => slots.map((sample, index) => ({ group, step, index, sample })))
     const texts = await this.services.payloads.readAll(slots.map(({ sample }) => sample.payload))
-    if (!texts.ok) return notTaken(texts.message)
+    if (!texts.ok) return retryLater(texts.message)
     const samples = slots.map(({ group, step, index, sample }, position): DeliveredSample => ({
       group, step, index, text: texts.value[position] ?? '', score: sample.score, segments: sample.segments
     }))
@@ -152,7 +152,7 @@
   }
 }
 
-/** Pulls and submissions may be repeated without harm, so the trainer is told to come back. */
-function notTaken (message: string): Result<never> {
+/** Returns a failure that tells the trainer to retry, as pulls and submissions are idempotent. */
+function retryLater (message: string): Result<never> {
   return failure('logUnavailable', message, { retryAfterMs: 1000 })
 }
--- a/src/actors/common/steps/stepDesk.ts
+++ b/src/actors/common/steps/stepDesk.ts
@@ -200,7 +200,7 @@
   }
 
   private async waitForResult (id: string, waitMs: number, gone: AbortSignal): Promise<void> {
-    const reading = this.services.topic.awaitRecords()
+    const reading = this.services.topic.readWithoutPause()
     await new Promise<void>((resolve) => {
       const done = (): void => {
         reading.dispose()
--- a/src/actors/common/steps/stepHome.ts
+++ b/src/actors/common/steps/stepHome.ts
@@ -151,7 +151,7 @@
     this.reading?.dispose()
     if (!this.services.duty.holds) return this.dropAll()
     this.timer = this.services.clock.every(LOOK_MS, () => { this.look() })
-    this.reading = this.services.topic.awaitRecords()
+    this.reading = this.services.topic.readWithoutPause()
     this.takeOver().catch((error: unknown) => { this.services.stateLog.alarm('steps not taken over', { error: String(error) }) })
   }
 
--- a/src/actors/common/store/groupAppender.ts
+++ b/src/actors/common/store/groupAppender.ts
@@ -1,8 +1,8 @@
 /**
- * Appends records to a keyed topic, many in one call (group commit), and tries again until a limit
- * of time. An append without an answer may have been done or may be done seconds later; therefore
- * each try writes its records under fresh keys where a repeat would otherwise replace a record and
- * change its place in the order.
+ * Appends records to a keyed topic, many in one call (group commit), and retries until a deadline.
+ * An append without an answer may have been applied, or may still be applied seconds later. Each
+ * attempt therefore creates its records anew, so that they can get new keys where a repeated append
+ * would otherwise replace a record and change its position in the order.
  */
 
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -11,8 +11,8 @@
 import type { KeyedLog, KeyedRecord } from '../../../ports/common/keyedLog.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
 
-/** Makes the records of one try; `nonce` is different in each. */
-export type RecordMaker = (nonce: string) => readonly KeyedRecord[]
+/** Creates the records of one attempt; `nonce` differs between attempts. */
+export type RecordFactory = (nonce: string) => readonly KeyedRecord[]
 
 export interface GroupAppenderServices {
   readonly log: KeyedLog
@@ -22,49 +22,49 @@
 }
 
 export interface GroupAppenderSettings {
-  /** Characters in one call, at most. */
-  readonly callCharacters: number
+  /** Maximum number of characters in one call, unless a single item is larger. */
+  readonly maxCallCharacters: number
 }
 
-interface Waiting {
-  readonly make: RecordMaker
-  readonly untilMs: number
-  /** Place of its first record among those of the try under way. */
+interface PendingAppend {
+  readonly makeRecords: RecordFactory
+  readonly deadlineMs: number
+  /** Index of its first record among the records of the attempt in progress. */
   index: number
-  /** True once a try may have been done. */
-  uncertain: boolean
+  /** Whether an earlier attempt may have been applied. */
+  outcomeUnknown: boolean
   readonly settle: (result: Result<number>) => void
 }
 
-/** Pause after a refused or unanswered append, in milliseconds. */
-const RETRY_MS = 60
-/** Characters of a key's random part: 36^10 values. */
+/** Pause after a refused or unanswered append. */
+const RETRY_DELAY_MS = 60
+/** Length of the random part of a key: 36^10 possible values. */
 const NONCE_LENGTH = 10
 
-/** A random part for keys, so that a record never replaces another by chance. */
+/** Returns a random key part, so that a record does not replace another one by coincidence. */
 export function keyNonce (chance: Chance): string {
   return chance.id().replaceAll('-', '').slice(0, NONCE_LENGTH)
 }
 
 export class GroupAppender {
-  private waiting: Waiting[] = []
+  private waiting: PendingAppend[] = []
   private busy = false
 
   constructor (private readonly services: GroupAppenderServices, private readonly settings: GroupAppenderSettings) {}
 
-  /** Records that the topic has not confirmed. */
+  /** Number of appends that the topic has not confirmed. */
   get backlog (): number {
     return this.waiting.length
   }
 
   /**
-   * Appends until it is confirmed or the time is over, and gives the offset of its first record. `logUnavailable`: surely nothing was
-   * appended; `commandUnknown`: it may have been.
+   * Retries the append until it is confirmed or the timeout expires, and returns the offset of its first record.
+   * Fails with `logUnavailable` if nothing was appended, and with `commandUnknown` if the records may have been appended.
    */
-  async append (make: RecordMaker, timeoutMs: number): Promise<Result<number>> {
-    const untilMs = this.services.clock.monotonic() + timeoutMs
+  async append (makeRecords: RecordFactory, timeoutMs: number): Promise<Result<number>> {
+    const deadlineMs = this.services.clock.monotonic() + timeoutMs
     return await new Promise((resolve) => {
-      this.waiting.push({ make, untilMs, index: 0, uncertain: false, settle: resolve })
+      this.waiting.push({ makeRecords, deadlineMs, index: 0, outcomeUnknown: false, settle: resolve })
       this.flush()
     })
   }
@@ -74,26 +74,26 @@
     this.busy = true
     const { batch, records } = this.takeBatch()
     this.services.metrics.count('store.appends')
-    this.services.log.append(records).then((result) => { this.appended(batch, result) }, (error: unknown) => { this.appended(batch, failure('commandUnknown', String(error))) })
+    this.services.log.append(records).then((result) => { this.handleResult(batch, result) }, (error: unknown) => { this.handleResult(batch, failure('commandUnknown', String(error))) })
   }
 
-  private takeBatch (): { batch: Waiting[], records: KeyedRecord[] } {
+  private takeBatch (): { batch: PendingAppend[], records: KeyedRecord[] } {
     const records: KeyedRecord[] = []
     let characters = 0
-    let taken = 0
+    let takenCount = 0
     for (const item of this.waiting) {
-      const made = item.make(keyNonce(this.services.chance))
-      const size = made.reduce((sum, { key, value }) => sum + key.length + (value?.length ?? 0), 0)
-      if (taken > 0 && characters + size > this.settings.callCharacters) break
+      const itemRecords = item.makeRecords(keyNonce(this.services.chance))
+      const size = itemRecords.reduce((sum, { key, value }) => sum + key.length + (value?.length ?? 0), 0)
+      if (takenCount > 0 && characters + size > this.settings.maxCallCharacters) break
       characters += size
       item.index = records.length
-      records.push(...made)
-      taken++
+      records.push(...itemRecords)
+      takenCount++
     }
-    return { batch: this.waiting.splice(0, taken), records }
+    return { batch: this.waiting.splice(0, takenCount), records }
   }
 
-  private appended (batch: readonly Waiting[], result: Result<number>): void {
+  private handleResult (batch: readonly PendingAppend[], result: Result<number>): void {
     this.busy = false
     if (result.ok) {
       for (const item of batch) item.settle(success(result.value + item.index))
@@ -101,13 +101,13 @@
       return
     }
     const now = this.services.clock.monotonic()
-    const again: Waiting[] = []
+    const retried: PendingAppend[] = []
     for (const item of batch) {
-      item.uncertain ||= result.code !== 'logUnavailable'
-      if (now + RETRY_MS < item.untilMs) again.push(item)
-      else item.settle(item.uncertain ? failure('commandUnknown', result.message) : failure('logUnavailable', result.message, { retryAfterMs: 1000 }))
+      item.outcomeUnknown ||= result.code !== 'logUnavailable'
+      if (now + RETRY_DELAY_MS < item.deadlineMs) retried.push(item)
+      else item.settle(item.outcomeUnknown ? failure('commandUnknown', result.message) : failure('logUnavailable', result.message, { retryAfterMs: 1000 }))
     }
-    this.waiting.unshift(...again)
-    this.services.clock.after(RETRY_MS, () => { this.flush() })
+    this.waiting.unshift(...retried)
+    this.services.clock.after(RETRY_DELAY_MS, () => { this.flush() })
   }
 }
--- a/src/actors/common/store/keyedTail.ts
+++ b/src/actors/common/store/keyedTail.ts
@@ -1,7 +1,8 @@
 /**
- * Follows a keyed topic: loads the newest record of every key, then reads on from there with long
- * polls, and starts over where the topic has forgotten what comes next (after a freeze, or when its
- * history was dropped). The listener gets every record once, in the topic's order.
+ * Follows a keyed topic: loads the newest record of every key, then reads the records after them
+ * with long polls. It reloads if the topic no longer holds the next offset, after this host was
+ * frozen or when the topic's history was dropped. The listener receives every record once, in the
+ * order of the topic.
  */
 
 import type { Disposable, Event } from '../../../base/common/lifecycle.ts'
@@ -14,9 +15,9 @@
 import { loadNewest } from './newestRecords.ts'
 
 export interface TailListener {
-  /** All newest records, in order; whatever was known before is replaced. */
+  /** Replaces everything known so far by the newest records of all keys, in order. */
   reset (entries: readonly KeyedEntry[]): void
-  /** Records that follow. */
+  /** Applies the records that follow, in order. */
   apply (entries: readonly KeyedEntry[]): void
 }
 
@@ -25,79 +26,78 @@
   readonly clock: Clock
   readonly metrics: Metrics
   readonly stateLog: StateLog
-  /** Fires when the store answers again: a read that hangs in the silence is not worth waiting for. */
+  /** Fires when the store answers again; a read still pending from the outage is then abandoned. */
   readonly onRegained: Event<void>
 }
 
 export interface TailSettings {
   readonly name: string
-  /** How long a read may wait for records, in milliseconds: a silent connection is noticed that late. */
+  /** How long a read may wait for records. It also bounds how late a silent connection is detected. */
   readonly longPollMs: number
-  /** Pause after a read that brought records, in milliseconds, as of now: what comes within it is read together, which spares calls where many write often. */
+  /** Returns the current pause after a read that returned records. Records written during the pause are read in one call, which saves calls when many hosts write often. */
   readonly pauseMs: () => number
 }
 
-/** A key after all others: the page of newest records after it is empty, which makes it the cheapest call. */
+/** Key that sorts after all others. The page of newest records after it is empty, which makes it the cheapest call. */
 export const LAST_KEY = '~'
 
-/** Pause after the first failed call, in milliseconds: most failures are of a single call. It doubles with each further one. */
-const RETRY_MS = 100
+/** Pause after the first failed call; short, as most failures affect a single call. It doubles with each further consecutive failure. */
+const INITIAL_RETRY_DELAY_MS = 100
 /**
- * Longest pause between failed calls, in milliseconds. Whoever regains the store is told at once; until then each call of
- * each host only asks others that do not reach it either. In 8 s without a store a topic is asked for 12 times
- * instead of 80.
+ * Maximum pause between failed calls. The end of an outage is signalled by `onRegained`, so frequent retries gain nothing:
+ * each one also calls other hosts that do not reach the store either. During an outage of 8 s a topic is read 12 times
+ * instead of 80 times at the initial delay.
  */
-const LONGEST_RETRY_MS = 800
+const MAX_RETRY_DELAY_MS = 800
 
 export class KeyedTail implements Disposable {
   private offset: number | undefined
-  private contact = Number.NEGATIVE_INFINITY
-  private sentAt: Instant | undefined
+  private lastContactAt = Number.NEGATIVE_INFINITY
+  private lastCompleteReadSentAt: Instant | undefined
   private lost = false
-  /** Whether records may be missing since the topic was loaded: the next read brings them, and waits for no others. */
-  private mayMiss = false
-  private regained = Number.NEGATIVE_INFINITY
+  /** Whether records may be missing because loading took several pages. The next read then returns them without waiting for new ones. */
+  private mayHaveGap = false
+  private regainedAtMs = Number.NEGATIVE_INFINITY
   private stopped = false
-  /** Failed calls in a row. */
-  private failures = 0
-  private hurried: (() => boolean) | undefined
-  private wake: (() => void) | undefined
+  private consecutiveFailures = 0
+  private skipsPauseWhile: (() => boolean) | undefined
+  private endCurrentPause: (() => void) | undefined
 
-  private readonly loads = new Emitter<void>()
-  private reading = new AbortController()
+  private readonly loadEmitter = new Emitter<void>()
+  private readAbort = new AbortController()
   private readonly subscription: Disposable
 
   constructor (private readonly services: TailServices, private readonly settings: TailSettings, private readonly listener: TailListener) {
     this.subscription = services.onRegained(() => {
-      // The read that is given up here fails too, and is no sign that the outage goes on.
-      this.failures = 0
-      this.reading.abort()
-      this.hurry()
+      // The read that is aborted here also fails, which does not mean that the outage continues.
+      this.consecutiveFailures = 0
+      this.readAbort.abort()
+      this.endPause()
     })
   }
 
-  /** Whether all records have been read once. */
+  /** Whether the newest records have been loaded. */
   get loaded (): boolean {
     return this.offset !== undefined
   }
 
-  /** Waits until all records have been read once; false if that takes longer than `limitMs`. */
+  /** Waits until the newest records have been loaded. Returns false if that takes longer than `limitMs`. */
   async whenLoaded (limitMs: number): Promise<boolean> {
     if (this.loaded) return true
     return await new Promise((resolve) => {
-      const done = (): void => {
+      const finish = (): void => {
         timer.dispose()
         subscription.dispose()
         resolve(this.loaded)
       }
-      const timer = this.services.clock.after(limitMs, done)
-      const subscription = this.loads.event(done)
+      const timer = this.services.clock.after(limitMs, finish)
+      const subscription = this.loadEmitter.event(finish)
     })
   }
 
-  /** When the newest read that came back complete was sent: all that the topic held then is known. */
+  /** Send time of the latest read that reached the end of the topic: everything that the topic held at that time is known. */
   get readAt (): Instant | undefined {
-    return this.sentAt
+    return this.lastCompleteReadSentAt
   }
 
   /** Offset of the next record to read. */
@@ -105,9 +105,9 @@
     return this.offset ?? 0
   }
 
-  /** Monotonic time at which calls succeeded again after a failed one. */
+  /** Monotonic time at which calls last succeeded again after a failure. */
   get regainedAt (): number {
-    return this.regained
+    return this.regainedAtMs
   }
 
   /** Whether the last call failed. */
@@ -120,68 +120,68 @@
     this.follow().catch((error: unknown) => { this.services.stateLog.alarm('a topic is no longer followed', { topic: this.settings.name, error: String(error) }) })
   }
 
-  /** Reads without pauses while this holds. */
-  hurryWhile (condition: () => boolean): void {
-    this.hurried = condition
+  /** Skips the pauses between reads while the condition returns true. */
+  readWithoutPauseWhile (condition: () => boolean): void {
+    this.skipsPauseWhile = condition
   }
 
-  /** Ends a pause that is under way. */
-  hurry (): void {
-    this.wake?.()
+  /** Ends the current pause, if any. */
+  endPause (): void {
+    this.endCurrentPause?.()
   }
 
-  /** Loads what is missing at once; true if all records older than this call are known afterwards. */
+  /** Reads the missing records without waiting. Returns true if all records older than this call are known afterwards. */
   async catchUp (): Promise<boolean> {
-    const sent = nowOf(this.services.clock)
+    const sentAt = nowOf(this.services.clock)
     if (this.offset === undefined) return false
-    const asked = this.offset
-    const page = await this.services.log.read(asked, 0)
+    const fromOffset = this.offset
+    const page = await this.services.log.read(fromOffset, 0)
     if (!page.ok || page.value.type === 'forgotten') return false
-    this.take(page.value.entries, asked)
+    this.applyNew(page.value.entries, fromOffset)
     if (this.position < page.value.end) return false
-    this.contact = Math.max(this.contact, sent.monotonic)
-    this.noteComplete(sent)
+    this.lastContactAt = Math.max(this.lastContactAt, sentAt.monotonic)
+    this.noteCompleteRead(sentAt)
     return true
   }
 
   dispose (): void {
     this.stopped = true
     this.subscription.dispose()
-    this.loads.dispose()
-    this.reading.abort()
+    this.loadEmitter.dispose()
+    this.readAbort.abort()
   }
 
   private async follow (): Promise<void> {
     while (!this.stopped) {
-      const began = this.services.clock.monotonic()
+      const startedAt = this.services.clock.monotonic()
       const from = this.offset
-      const answered = from === undefined ? await this.load() : await this.readOn(from)
+      const answered = from === undefined ? await this.load() : await this.readNext(from)
       if (this.stopped) return
-      this.note(answered, began)
-      this.failures = answered ? 0 : this.failures + 1
-      if (this.failures > 0) await this.pause(Math.min(LONGEST_RETRY_MS, RETRY_MS * 2 ** (this.failures - 1)))
-      else if (this.position !== from && this.hurried?.() !== true) await this.pause(this.settings.pauseMs())
+      this.noteOutcome(answered, startedAt)
+      this.consecutiveFailures = answered ? 0 : this.consecutiveFailures + 1
+      if (this.consecutiveFailures > 0) await this.pause(Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** (this.consecutiveFailures - 1)))
+      else if (this.position !== from && this.skipsPauseWhile?.() !== true) await this.pause(this.settings.pauseMs())
     }
   }
 
   private async load (): Promise<boolean> {
-    const sent = nowOf(this.services.clock)
+    const sentAt = nowOf(this.services.clock)
     const newest = await loadNewest(this.services.log)
     if (newest === undefined) return false
-    const { entries, end, isWhole } = newest
+    const { entries, end, isComplete } = newest
     this.listener.reset(entries)
     this.offset = end
-    this.mayMiss = !isWhole
-    if (isWhole) this.noteComplete(sent)
+    this.mayHaveGap = !isComplete
+    if (isComplete) this.noteCompleteRead(sentAt)
     this.services.stateLog.changed('topic loaded', { topic: this.settings.name, records: entries.length, offset: end })
-    this.loads.fire()
+    this.loadEmitter.fire()
     return true
   }
 
-  private async readOn (from: number): Promise<boolean> {
-    this.reading = new AbortController()
-    const sent = nowOf(this.services.clock)
-    const page = await this.services.log.read(from, this.mayMiss ? 0 : this.settings.longPollMs, this.reading.signal)
+  private async readNext (from: number): Promise<boolean> {
+    this.readAbort = new AbortController()
+    const sentAt = nowOf(this.services.clock)
+    const page = await this.services.log.read(from, this.mayHaveGap ? 0 : this.settings.longPollMs, this.readAbort.signal)
     if (!page.ok) return false
     if (page.value.type === 'forgotten') {
       this.services.stateLog.changed('topic has forgotten its history', { topic: this.settings.name, offset: from })
@@ -189,32 +189,32 @@
       this.offset = undefined
       return true
     }
-    this.take(page.value.entries, from)
-    this.mayMiss = false
-    if (this.position >= page.value.end) this.noteComplete(sent)
+    this.applyNew(page.value.entries, from)
+    this.mayHaveGap = false
+    if (this.position >= page.value.end) this.noteCompleteRead(sentAt)
     return true
   }
 
-  /** A read that was sent earlier may come back later: it tells less. */
-  private noteComplete (sent: Instant): void {
-    if (this.sentAt === undefined || sent.monotonic > this.sentAt.monotonic) this.sentAt = sent
+  /** Keeps the latest send time, as a read that was sent earlier may complete later. */
+  private noteCompleteRead (sentAt: Instant): void {
+    if (this.lastCompleteReadSentAt === undefined || sentAt.monotonic > this.lastCompleteReadSentAt.monotonic) this.lastCompleteReadSentAt = sentAt
   }
 
-  /** Takes records once, though a read of the loop and one of `catchUp` may bring the same ones. */
-  private take (entries: readonly KeyedEntry[], from: number): void {
-    const current = this.offset
-    if (current === undefined || from + entries.length <= current) return
-    const fresh = entries.slice(current - from)
+  /** Applies each record once, as the read loop and `catchUp` may return the same records. */
+  private applyNew (entries: readonly KeyedEntry[], from: number): void {
+    const nextOffset = this.offset
+    if (nextOffset === undefined || from + entries.length <= nextOffset) return
+    const newEntries = entries.slice(nextOffset - from)
     this.offset = from + entries.length
-    this.listener.apply(fresh)
+    this.listener.apply(newEntries)
   }
 
-  private note (answered: boolean, began: number): void {
-    if (answered) this.contact = Math.max(this.contact, began)
+  private noteOutcome (answered: boolean, startedAt: number): void {
+    if (answered) this.lastContactAt = Math.max(this.lastContactAt, startedAt)
     if (answered !== this.lost) return
     this.lost = !answered
-    if (answered) this.regained = this.services.clock.monotonic()
-    const details = { topic: this.settings.name, offset: this.position, silentMs: Math.round(this.services.clock.monotonic() - this.contact) }
+    if (answered) this.regainedAtMs = this.services.clock.monotonic()
+    const details = { topic: this.settings.name, offset: this.position, silentMs: Math.round(this.services.clock.monotonic() - this.lastContactAt) }
     if (answered) this.services.stateLog.changed('store regained', details)
     else this.services.stateLog.alarm('store lost', details)
   }
@@ -223,11 +223,11 @@
     if (milliseconds === 0) return
     await new Promise<void>((resolve) => {
       const timer = this.services.clock.after(milliseconds, resolve)
-      this.wake = () => {
+      this.endCurrentPause = () => {
         timer.dispose()
         resolve()
       }
     })
-    this.wake = undefined
+    this.endCurrentPause = undefined
   }
 }
--- a/src/actors/common/store/newestRecords.ts
+++ b/src/actors/common/store/newestRecords.ts
@@ -1,19 +1,19 @@
-/** Loading of the newest record of every key of a topic. */
+/** Loads the newest record of every key of a topic. */
 
 import type { KeyedEntry, KeyedLog } from '../../../ports/common/keyedLog.ts'
 
 export interface NewestRecords {
-  /** Records that stand before `end`, in their order. */
+  /** Records before `end`, in the order of their offsets. */
   readonly entries: readonly KeyedEntry[]
-  /** Offset from which the topic is to be read on. */
+  /** Offset from which to continue reading the topic. */
   readonly end: number
-  /** Whether they came in one page, and so are all that the topic held then. */
-  readonly isWhole: boolean
+  /** Whether all records came in one page, so that none that the topic held at that time is missing. */
+  readonly isComplete: boolean
 }
 
 /**
- * Loads page after page; `undefined` if a page was not given. Pages are not a snapshot: what was written meanwhile is left out, as it is
- * read again from the first page's end, and a record that was written again between two pages is in neither of them.
+ * Loads all pages and returns `undefined` if a page cannot be read. The pages are not a snapshot. Records written during the load are left
+ * out, as they are read again from the end offset of the first page. A record that is rewritten between two pages may be in neither of them.
  */
 export async function loadNewest (log: Pick<KeyedLog, 'newest'>): Promise<NewestRecords | undefined> {
   const found: KeyedEntry[] = []
@@ -28,6 +28,6 @@
     pages++
     after = page.value.next
   } while (after !== undefined)
-  const known = end
-  return { entries: found.filter(({ offset }) => offset < known).sort((a, b) => a.offset - b.offset), end: known, isWhole: pages === 1 }
+  const firstEnd = end
+  return { entries: found.filter(({ offset }) => offset < firstEnd).sort((a, b) => a.offset - b.offset), end: firstEnd, isComplete: pages === 1 }
 }
--- a/src/actors/common/store/stepTopic.ts
+++ b/src/actors/common/store/stepTopic.ts
@@ -1,4 +1,4 @@
-/** The steps' topic as this host has read it: the fold, its events, and how sure this host is of them. */
+/** The topic of steps as read by this host: the folded state, its change events, and whether the topic is currently read without failures. */
 
 import type { Disposable } from '../../../base/common/lifecycle.ts'
 import { Emitter, toDisposable } from '../../../base/common/lifecycle.ts'
@@ -10,32 +10,32 @@
 import type { TailListener, TailServices, TailSettings } from './keyedTail.ts'
 import { KeyedTail } from './keyedTail.ts'
 
-/** Lines about moved results that one load writes, at most: the first ones show where the order parts. */
-const MOST_MOVED = 10
+/** Maximum number of log lines about moved results per load: the first ones show where the orders diverge. */
+const MAX_MOVED_RESULT_LINES = 10
 
 export class StepTopic implements DutySource, Disposable {
   private readonly fold = new StepFold()
   private readonly tail: KeyedTail
-  private readonly changes = new Emitter<StepChange>()
-  private readonly dutyChanges = new Emitter<FoldedDuty>()
-  /** Those who wait for the next record. */
+  private readonly changeEmitter = new Emitter<StepChange>()
+  private readonly dutyChangeEmitter = new Emitter<FoldedDuty>()
+  /** Number of callers that wait for the next record. */
   private waiting = 0
-  private readonly sharers: TailListener[] = []
-  readonly onChange = this.changes.event
-  readonly onDuty = this.dutyChanges.event
+  private readonly additionalListeners: TailListener[] = []
+  readonly onChange = this.changeEmitter.event
+  readonly onDuty = this.dutyChangeEmitter.event
 
   constructor (private readonly services: TailServices, settings: TailSettings) {
     this.tail = new KeyedTail(services, settings, {
       reset: (entries) => {
-        for (const sharer of this.sharers) sharer.reset(entries)
+        for (const listener of this.additionalListeners) listener.reset(entries)
         this.reset(entries)
       },
       apply: (entries) => {
-        for (const sharer of this.sharers) sharer.apply(entries)
-        this.tell(this.fold.apply(entries))
+        for (const listener of this.additionalListeners) listener.apply(entries)
+        this.fireChanges(this.fold.apply(entries))
       }
     })
-    this.tail.hurryWhile(() => this.waiting > 0)
+    this.tail.readWithoutPauseWhile(() => this.waiting > 0)
   }
 
   get loaded (): boolean {
@@ -54,16 +54,16 @@
     return this.tail.position
   }
 
-  /** Gives another reader the records too: those that are not of steps are its own. To be called before `start`. */
-  share (sharer: TailListener): void {
-    this.sharers.push(sharer)
+  /** Passes all records to a further listener, which handles those that do not belong to steps. Must be called before `start`. */
+  share (listener: TailListener): void {
+    this.additionalListeners.push(listener)
   }
 
   start (): void {
     this.tail.start()
   }
 
-  /** Waits until all records have been read once; false if that takes longer. */
+  /** Waits until the newest records have been loaded. Returns false if that takes longer than `limitMs`. */
   async whenLoaded (limitMs: number): Promise<boolean> {
     return await this.tail.whenLoaded(limitMs)
   }
@@ -72,10 +72,10 @@
     return await this.tail.catchUp()
   }
 
-  /** Has records read without pauses until the result is disposed. */
-  awaitRecords (): Disposable {
+  /** Reads records without pauses until the returned object is disposed. */
+  readWithoutPause (): Disposable {
     this.waiting++
-    this.tail.hurry()
+    this.tail.endPause()
     return toDisposable(() => { this.waiting-- })
   }
 
@@ -109,25 +109,25 @@
 
   dispose (): void {
     this.tail.dispose()
-    this.changes.dispose()
-    this.dutyChanges.dispose()
+    this.changeEmitter.dispose()
+    this.dutyChangeEmitter.dispose()
   }
 
-  /** Records have one order for all time; where results move, readers that hold a position are misled, and nobody else would notice. */
+  /** Replaces the state and raises an alarm if results have moved: the order of records must never change, as a reader that holds a position would silently read the wrong results. */
   private reset (entries: readonly KeyedEntry[]): void {
     const before = [...this.fold.steps()]
     const changes = this.fold.reset(entries)
     const moved = changedPositions(before, (step) => this.fold.step(step))
-    for (const { step, item, former, present } of moved.slice(0, MOST_MOVED)) {
+    for (const { step, item, former, present } of moved.slice(0, MAX_MOVED_RESULT_LINES)) {
       this.services.stateLog.alarm('results stand otherwise than before', { step, item, former, present: present ?? 'gone', moved: moved.length })
     }
-    this.tell(changes)
+    this.fireChanges(changes)
   }
 
-  private tell (changes: readonly StepChange[]): void {
+  private fireChanges (changes: readonly StepChange[]): void {
     for (const change of changes) {
-      if (change.type === 'duty') this.dutyChanges.fire(change.duty)
-      else this.changes.fire(change)
+      if (change.type === 'duty') this.dutyChangeEmitter.fire(change.duty)
+      else this.changeEmitter.fire(change)
     }
   }
 }
--- a/src/actors/common/targets/orderKeeper.ts
+++ b/src/actors/common/targets/orderKeeper.ts
@@ -13,7 +13,7 @@
 import { findObject } from '../../../core/common/fold/configuration.ts'
 import type { Engine, EngineReport, HostList, ListedHost } from '../../../ports/common/targets.ts'
 import type { MembershipView } from '../membership/membership.ts'
-import type { Homes } from '../routing/homes.ts'
+import type { HomeResolver } from '../routing/homeResolver.ts'
 import type { TaskSystem } from '../task.ts'
 import { Task } from '../task.ts'
 import type { LeaseServices } from './leaseHolder.ts'
@@ -31,7 +31,7 @@
 export interface OrderServices extends LeaseServices {
   readonly system: TaskSystem
   readonly directory: TargetDirectory
-  readonly homes: Homes
+  readonly homes: HomeResolver
   readonly membership: MembershipView
   readonly engine: Engine
   readonly hostList: HostList | undefined
@@ -96,7 +96,7 @@
   private reconcile (): void {
     for (const shard of this.services.directory.shards()) {
       this.lease(shard).observe()
-      if (!this.services.homes.isSelf(this.services.homes.ofShard(shard))) {
+      if (!this.services.homes.isSelf(this.services.homes.homeOfShard(shard))) {
         this.endUnused(shard)
         continue
       }
@@ -143,7 +143,7 @@
     }
     const target = findObject(this.services.fold.state.configuration, 'target', name)
     const behind = target !== undefined && this.wantedVersion(target) !== undefined
-    if (behind && this.services.homes.isSelf(this.services.homes.ofShard(shard))) this.order(shard, [target])
+    if (behind && this.services.homes.isSelf(this.services.homes.homeOfShard(shard))) this.order(shard, [target])
   }
 
   /** Version that an engine should be brought to; undefined where nothing is to be ordered. */
--- a/src/actors/common/task.ts
+++ b/src/actors/common/task.ts
@@ -1,7 +1,7 @@
 /**
- * Base of the tasks: a nact actor that owns its state and is told things by messages, one at a
- * time. A task that fails on a message is told to go on: its timers keep it level-triggered, so the
- * next turn mends what one message left undone.
+ * Base class of the tasks. A task is a nact actor that owns its state and handles messages one at a
+ * time. It is resumed after a message that fails: timers make the tasks level-triggered, so the next
+ * timer message redoes the work that the failed message left undone.
  */
 
 import type { ActorSystemRef, Ref } from 'nact'
@@ -14,32 +14,32 @@
 
 export abstract class Task<Message> implements Disposable {
   protected readonly disposables = new DisposableStore()
-  private readonly reference: Ref<Message>
+  private readonly actor: Ref<Message>
 
   constructor (system: TaskSystem, name: string, metrics: Metrics) {
-    this.reference = spawn(system, (_state: undefined, message: Message) => { this.receive(message) }, name, {
+    this.actor = spawn(system, (_state: undefined, message: Message) => { this.receive(message) }, name, {
       onCrash: (_message, error, context) => {
         metrics.count('task.failed')
         metrics.count(`task.${name}.failed`)
-        this.failed(error)
+        this.handleFailure(error)
         return context.resume
       }
     }) as Ref<Message>
   }
 
-  /** Sends a message to this task. */
+  /** Adds a message to the queue of this task. */
   tell (message: Message): void {
-    dispatch(this.reference, message)
+    dispatch(this.actor, message)
   }
 
   dispose (): void {
     this.disposables.dispose()
-    stop(this.reference)
+    stop(this.actor)
   }
 
   /** Handles one message; must not block. */
   protected abstract receive (message: Message): void
 
-  /** Called with what a message made fail. */
-  protected failed (_error: unknown): void {}
+  /** Called with the error after the handling of a message has failed. */
+  protected handleFailure (_error: unknown): void {}
 }
--- a/src/commandLine/node/operatorClient.ts
+++ b/src/commandLine/node/operatorClient.ts
@@ -4,7 +4,7 @@
 import { connector, neverSent } from '../../adapters/node/connections.ts'
 import type { FailureBody, Result } from '../../base/common/resultCode.ts'
 import { failure, success } from '../../base/common/resultCode.ts'
-import type { CommandAnswer, RowsAnswer } from '../../actors/common/operators/operatorDesk.ts'
+import type { CommandAnswer, RowsAnswer } from '../../actors/common/operators/operatorService.ts'
 import type { Row } from '../../core/common/language/rows.ts'
 
 export interface OperatorCall {
--- a/src/entry/node/routes/completionRoutes.ts
+++ b/src/entry/node/routes/completionRoutes.ts
@@ -7,7 +7,7 @@
 import { failure, failureBody, success } from '../../../base/common/resultCode.ts'
 import type { CompletionCall, Completions, CompletionSummary } from '../../../actors/common/requests/completions.ts'
 import type { FoldView } from '../../../actors/common/log/controlLog.ts'
-import { prefixOf } from '../../../actors/common/samples/rolloutRunner.ts'
+import { prefixHashOf } from '../../../actors/common/samples/rolloutRunner.ts'
 import { findObject } from '../../../core/common/fold/configuration.ts'
 import type { Chance, Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
@@ -76,7 +76,7 @@
       prompt: body.prompt,
       maximumTokens: body.max_tokens,
       deadline: started + (body.deadline_ms ?? lane.properties.deadline),
-      prefix: prefixOf(this.services.hash, body.prompt)
+      prefix: prefixHashOf(this.services.hash, body.prompt)
     })
   }
 
--- a/src/entry/node/routes/hostRoutes.ts
+++ b/src/entry/node/routes/hostRoutes.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod'
 import type { FoldView } from '../../../actors/common/log/controlLog.ts'
 import type { MembershipView } from '../../../actors/common/membership/membership.ts'
-import type { OperatorDesk } from '../../../actors/common/operators/operatorDesk.ts'
+import type { OperatorService } from '../../../actors/common/operators/operatorService.ts'
 import type { StatsdMetrics } from '../../../adapters/node/statsdMetrics.ts'
 import type { Exchange } from '../exchange.ts'
 import type { Router } from '../router.ts'
@@ -19,7 +19,7 @@
 export interface HostRouteServices {
   readonly fold: FoldView
   readonly membership: MembershipView
-  readonly desk: OperatorDesk
+  readonly desk: OperatorService
   readonly metrics: StatsdMetrics
 }
 
--- a/src/entry/node/routes/trainerRoutes.ts
+++ b/src/entry/node/routes/trainerRoutes.ts
@@ -4,7 +4,7 @@
 import type { Result } from '../../../base/common/resultCode.ts'
 import { failure, success } from '../../../base/common/resultCode.ts'
 import type { FoldView } from '../../../actors/common/log/controlLog.ts'
-import type { TrainerDesk } from '../../../actors/common/samples/trainerDesk.ts'
+import type { TrainerService } from '../../../actors/common/samples/trainerService.ts'
 import { findObject } from '../../../core/common/fold/configuration.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
 import type { Exchange } from '../exchange.ts'
@@ -24,7 +24,7 @@
 })
 
 export interface TrainerRouteServices {
-  readonly desk: TrainerDesk
+  readonly desk: TrainerService
   readonly fold: FoldView
   readonly metrics: Metrics
 }
--- a/src/host/node/entryHost.ts
+++ b/src/host/node/entryHost.ts
@@ -12,19 +12,19 @@
 import { Checkpointer } from '../../actors/common/log/checkpointer.ts'
 import { ControlLog } from '../../actors/common/log/controlLog.ts'
 import { Membership } from '../../actors/common/membership/membership.ts'
-import { OperatorDesk } from '../../actors/common/operators/operatorDesk.ts'
+import { OperatorService } from '../../actors/common/operators/operatorService.ts'
 import { Views } from '../../actors/common/operators/views.ts'
 import { Completions } from '../../actors/common/requests/completions.ts'
 import { ServiceCalls } from '../../actors/common/requests/serviceCalls.ts'
 import { GrantClient } from '../../actors/common/routing/grantClient.ts'
-import { Homes } from '../../actors/common/routing/homes.ts'
-import { ShardHomes } from '../../actors/common/routing/shardHomes.ts'
-import { PayloadKeeper } from '../../actors/common/samples/payloadKeeper.ts'
-import { Payloads } from '../../actors/common/samples/payloads.ts'
+import { HomeResolver } from '../../actors/common/routing/homeResolver.ts'
+import { ShardAdmissionServer } from '../../actors/common/routing/shardAdmissionServer.ts'
+import { PayloadRefresher } from '../../actors/common/samples/payloadRefresher.ts'
+import { PayloadStore } from '../../actors/common/samples/payloadStore.ts'
 import { RolloutRunner } from '../../actors/common/samples/rolloutRunner.ts'
 import { SampleWriter } from '../../actors/common/samples/sampleWriter.ts'
-import { SubscriptionHomes } from '../../actors/common/samples/subscriptionHomes.ts'
-import { TrainerDesk } from '../../actors/common/samples/trainerDesk.ts'
+import { RolloutScheduler } from '../../actors/common/samples/rolloutScheduler.ts'
+import { TrainerService } from '../../actors/common/samples/trainerService.ts'
 import { OrderKeeper } from '../../actors/common/targets/orderKeeper.ts'
 import { TargetDirectory } from '../../actors/common/targets/targetDirectory.ts'
 import { Connections } from '../../adapters/node/connections.ts'
@@ -92,7 +92,7 @@
     indirect: settings.membership.indirect,
     suspicionMs: settings.membership.suspicion,
     forgetMs: settings.membership.forget,
-    fullExchangeMs: settings.membership.full_exchange
+    fullExchangeIntervalMs: settings.membership.full_exchange
   }, { host, address: settings.host.address, place: asPlace(settings.host.place) }))
   const fold = disposables.add(new ControlLog({ ...base, log, peers, handlers, directory: membership }, {
     longPollMs: settings.log.long_poll,
@@ -101,12 +101,12 @@
     relayEntries: settings.log.relay_entries
   }))
   const appender = disposables.add(new Appender({ ...base, log, fold }, { batchDelayMs: settings.log.batch_delay, queue: settings.log.queue }))
-  const homes = new Homes(membership, hash)
+  const homes = new HomeResolver(membership, hash)
   disposables.add(new Checkpointer({ ...base, log, fold, homes }, { entries: settings.log.checkpoint_entries, intervalMs: settings.log.checkpoint_interval }))
 
   const directory = new TargetDirectory(fold)
-  const shardHomes: ShardHomes = disposables.add(new ShardHomes({ ...base, fold, directory, membership, peers, handlers, revokeHere: (grant) => { grants.revoke(grant) } }))
-  const grants: GrantClient = disposables.add(new GrantClient({ ...base, membership, directory, homes, local: shardHomes, peers, handlers }, limits.grant_use))
+  const shardHomes: ShardAdmissionServer = disposables.add(new ShardAdmissionServer({ ...base, fold, directory, membership, peers, handlers, revokeLocally: (grant) => { grants.revoke(grant) } }))
+  const grants: GrantClient = disposables.add(new GrantClient({ ...base, membership, directory, homes, localAdmission: shardHomes, peers, handlers }, limits.grant_use))
   const orders = disposables.add(new OrderKeeper({
     ...base,
     fold,
@@ -116,7 +116,7 @@
     membership,
     engine,
     hostList: settings.host_list === undefined ? undefined : new HttpHostList(settings.host_list.address, platform, settings.log.timeout),
-    onListed: (hosts) => { membership.setListed(hosts.filter(({ state }) => state === 'live').map(({ address }) => address)) }
+    onListed: (hosts) => { membership.setListedAddresses(hosts.filter(({ state }) => state === 'live').map(({ address }) => address)) }
   }, {
     leaseMs: settings.orders.lease,
     flightMs: settings.orders.flight,
@@ -125,13 +125,13 @@
     hostListMs: settings.orders.host_list
   }))
 
-  const payloads = new Payloads(log)
+  const payloads = new PayloadStore(log)
   const writer = disposables.add(new SampleWriter({ ...base, payloads, appender, membership, peers, handlers }))
   const scorer = settings.scorer === undefined ? undefined : new HttpScorer(settings.scorer.address, platform, settings.rollouts.score_timeout)
   const runner = new RolloutRunner({ ...base, grants, engine, scorer, payloads, fold }, settings.rollouts.wait)
-  const keeper = new PayloadKeeper({ ...base, payloads, appender }, settings.log.payload_refresh)
-  const subscriptions = disposables.add(new SubscriptionHomes({ ...base, fold, homes, payloads, keeper, runner, writer }, { parallel: settings.rollouts.parallel, backlog: settings.log.queue }))
-  const trainerDesk = new TrainerDesk({ ...base, fold, appender, payloads }, settings.log.queue_wait)
+  const keeper = new PayloadRefresher({ ...base, payloads, appender }, settings.log.payload_refresh)
+  const subscriptions = disposables.add(new RolloutScheduler({ ...base, fold, homes, payloads, payloadRefresher: keeper, runner, writer }, { parallel: settings.rollouts.parallel, backlog: settings.log.queue }))
+  const trainerDesk = new TrainerService({ ...base, fold, appender, payloads }, settings.log.queue_wait)
 
   const budget = new RetryBudget({ ratio: limits.retry_ratio, maximum: limits.retry_saved })
   const registry = new RequestRegistry()
@@ -139,9 +139,9 @@
   const service = new HttpService(targets, limits.connect_timeout, limits.answer_bytes)
   const serviceCalls = new ServiceCalls({ ...base, grants, service, appender, fold, membership, budget }, { claimWaitMs: settings.log.queue_wait, host })
 
-  const status = () => ({ requests: server.requests, rollouts: subscriptions.underway, backlog: writer.backlog + appender.backlog, memoryMegabytes: Math.round(process.memoryUsage.rss() / MEGABYTE) })
-  const views = new Views({ fold, membership, directory, homes, shardHomes, clock, status })
-  const operatorDesk = new OperatorDesk({ ...base, fold, appender, membership, views, peers, handlers }, settings.log.queue_wait)
+  const status = () => ({ requests: server.requests, rollouts: subscriptions.runningCount, backlog: writer.backlog + appender.backlog, memoryMegabytes: Math.round(process.memoryUsage.rss() / MEGABYTE) })
+  const views = new Views({ fold, membership, directory, homes, admissionServer: shardHomes, clock, status })
+  const operatorDesk = new OperatorService({ ...base, fold, appender, membership, views, peers, handlers }, settings.log.queue_wait)
 
   const router = new Router()
   new CompletionRoutes({ ...base, completions, fold, registry }, limits.heartbeat).register(router)
@@ -159,10 +159,10 @@
     alternatives: () => membership.available().filter((member) => member.host !== host).map((member) => member.address).slice(0, ALTERNATIVES),
     leaving: () => stop.isStopping
   }))
-  membership.tellWithProbes({
+  membership.setProbePayload({
     offset: () => fold.state.offset,
     load: () => Math.min(1, server.requests / limits.requests),
-    reachesStore: () => fold.logAnswers,
+    reachesStore: () => fold.isLogAvailable,
     pressures: () => shardHomes.pressures()
   })
 
@@ -170,7 +170,7 @@
     announce: () => { membership.leave() },
     stopStarting: () => { subscriptions.stopStarting() },
     endLeases: async () => { await orders.endLeases() },
-    underway: () => ({ requests: server.requests, rollouts: subscriptions.underway, samples: writer.backlog, records: appender.backlog, orders: orders.ordersUnderway, grants: grants.inUse }),
+    underway: () => ({ requests: server.requests, rollouts: subscriptions.runningCount, samples: writer.backlog, records: appender.backlog, orders: orders.ordersUnderway, grants: grants.inUseCount }),
     close: async () => { await server.close() }
   }, { validForMs: limits.valid_for, timeoutMs: limits.stop_timeout }, clock, stateLog)
   await server.listen()
--- a/src/host/node/routed/callGuards.ts
+++ b/src/host/node/routed/callGuards.ts
@@ -16,7 +16,7 @@
 export function createCallGuards ({ settings: { store, mechanisms }, services, disposables }: HostBase, { targets, topic, stepLog }: FollowedTopics, client: HttpTargetClient): CallGuards {
   const fingerprints = sha256Fingerprints
   const ends = disposables.add(new TargetEnds({ ...services, targets, client, fingerprints }))
-  const appender = new GroupAppender({ ...services, log: stepLog }, { callCharacters: store.call_bytes / 2 })
+  const appender = new GroupAppender({ ...services, log: stepLog }, { maxCallCharacters: store.call_bytes / 2 })
   const held = disposables.add(new HeldRequests({ ...services, ends, targets, topic, appender, fingerprints, mechanisms }))
   return { ends, held }
 }
--- a/src/host/node/routed/followedTopics.ts
+++ b/src/host/node/routed/followedTopics.ts
@@ -4,7 +4,7 @@
 import { TargetTable } from '../../../actors/common/routes/targetTable.ts'
 import { TargetTopic } from '../../../actors/common/routes/targetTopic.ts'
 import type { TailSettings } from '../../../actors/common/store/keyedTail.ts'
-import { OutageNotes } from '../../../actors/common/store/outageNotes.ts'
+import { OutageLogDeduplicator } from '../../../actors/common/store/outageLogDeduplicator.ts'
 import { StepTopic } from '../../../actors/common/store/stepTopic.ts'
 import { isCandidate } from '../../../core/common/duties/dutyOrder.ts'
 import { followPauseMs } from '../../../core/common/steps/followPause.ts'
@@ -25,7 +25,7 @@
 }
 
 export function createFollowedTopics ({ settings: { store }, services, disposables }: HostBase, { standing }: OtherHosts, { reach, keyedLog }: StoreLinks): FollowedTopics {
-  const followed = { ...services, stateLog: new OutageNotes(services.stateLog), onRegained: reach.onRegained }
+  const followed = { ...services, stateLog: new OutageLogDeduplicator(services.stateLog), onRegained: reach.onRegained }
   const tail = (name: string, pauseMs: () => number): TailSettings => ({ name, longPollMs: store.long_poll, pauseMs })
   const followPause = (usualMs: number): number => followPauseMs(standing.now.hosts, usualMs)
 
--- a/src/host/node/routed/hostSteps.ts
+++ b/src/host/node/routed/hostSteps.ts
@@ -50,10 +50,10 @@
   const routes = (): typeof operator.routes => operator.routes
   const callCharacters = store.call_bytes / 2
   const contentsLog = links.keyedLog(store.contents_topic)
-  const contentsAppender = new GroupAppender({ ...services, log: contentsLog }, { callCharacters })
+  const contentsAppender = new GroupAppender({ ...services, log: contentsLog }, { maxCallCharacters: callCharacters })
   const contents = createContents(base, others, { log: contentsLog, appender: contentsAppender })
   disposables.add(topic.onChange((change) => { if (change.type === 'forgotten') contents.forget(change.step) }))
-  const appender = new GroupAppender({ ...services, log: stepLog }, { callCharacters })
+  const appender = new GroupAppender({ ...services, log: stepLog }, { maxCallCharacters: callCharacters })
   const duty = createDuty(base, others, topics)
   disposables.add(noteResults({ topic, duty, clock, metrics, stateLog, routes, phasesOf: (step, item) => home.phasesOf(step, item) }))
   const board = new EngineBoard(topics.targets, clock, routes)
@@ -96,7 +96,7 @@
     ...services,
     source: topic,
     log: stepLog,
-    doubt: (holder) => { membership.doubt(asHostId(holder)) },
+    doubt: (holder) => { membership.probeNow(asHostId(holder)) },
     isLost: (holder) => isLost(membership.members(), holder),
     standing: () => standing.now
   }, { duty: STEPS_DUTY, machine, holder: host, renewMs: renew, leaseMs: lease, restMs: rest, doubtMs: doubt }))
--- a/src/host/node/routed/otherHosts.ts
+++ b/src/host/node/routed/otherHosts.ts
@@ -32,7 +32,7 @@
     indirect: known.indirect,
     suspicionMs: known.suspicion,
     forgetMs: known.forget,
-    fullExchangeMs: known.full_exchange
+    fullExchangeIntervalMs: known.full_exchange
   }, { host, address: ownAddress, place: asPlace(settings.host.place), processor }))
   const standing = new DutyStanding({ ...services, membership }, { duty: STEPS_DUTY, host, processor: mechanisms.small_host_delay ? processor : undefined })
   return { peers, handlers, membership, standing }
--- a/src/host/node/routed/storeLinks.ts
+++ b/src/host/node/routed/storeLinks.ts
@@ -1,9 +1,9 @@
 /** A host's ways to the store: straight, and through other hosts while the store does not answer it. */
 
-import { AppendNotes } from '../../../actors/common/store/appendNotes.ts'
+import { AppendFailureLogger } from '../../../actors/common/store/appendFailureLogger.ts'
 import { LAST_KEY } from '../../../actors/common/store/keyedTail.ts'
 import { RelayedKeyedLog, serveRelays } from '../../../actors/common/store/relayedKeyedLog.ts'
-import { StoreReach } from '../../../actors/common/store/storeReach.ts'
+import { StoreReachability } from '../../../actors/common/store/storeReachability.ts'
 import { Connections } from '../../../adapters/node/connections.ts'
 import { HistoryClient } from '../../../adapters/node/historyClient.ts'
 import { KeyedLogClient } from '../../../adapters/node/keyedLogClient.ts'
@@ -20,7 +20,7 @@
 const STORE_PROBE_MS = 500
 
 export interface StoreLinks {
-  readonly reach: StoreReach
+  readonly reach: StoreReachability
   /** A keyed topic; other hosts that do not reach the store may call it through this host. */
   readonly keyedLog: (topic: string) => KeyedLog
   /** The topic of progress, to which there is no way around. */
@@ -32,16 +32,16 @@
   const { clock, metrics } = services
   const connections = disposables.add(new Connections({ maximumAnswerBytes: limits.answer_bytes, connectTimeoutMs: limits.connect_timeout, connections: STORE_CONNECTIONS, silenceMs: store.timeout + store.long_poll }))
   const probes = new KeyedLogClient(new StoreCaller(connections, metrics, store.address, STORE_PROBE_MS), storeProtocol, store.topic)
-  const reach = disposables.add(new StoreReach(clock, async () => (await probes.newest(LAST_KEY)).ok))
+  const reach = disposables.add(new StoreReachability(clock, async () => (await probes.newest(LAST_KEY)).ok))
   const caller = new StoreCaller(connections, metrics, store.address, store.timeout)
-  const notes = new AppendNotes(services)
-  const relays = { peers: notes.ofPeers(peers), helpers: () => mechanisms.relays ? membership.storeReacherAddresses() : [], reach, metrics }
+  const notes = new AppendFailureLogger(services)
+  const relays = { peers: notes.wrapPeers(peers), helpers: () => mechanisms.relays ? membership.addressesReachingStore() : [], reach, metrics }
   const direct = new Map<string, KeyedLog>()
   serveRelays(handlers, direct)
   return {
     reach,
     keyedLog: (topic) => {
-      const client = notes.ofLog(topic, new KeyedLogClient(caller, storeProtocol, topic))
+      const client = notes.wrapLog(topic, new KeyedLogClient(caller, storeProtocol, topic))
       direct.set(topic, client)
       return new RelayedKeyedLog(relays, client, topic)
     },
--- a/src/host/node/routedHost.ts
+++ b/src/host/node/routedHost.ts
@@ -70,7 +70,7 @@
   const forward = new ForwardRoutes({ calls, streams: new StreamCalls(callServices, settings.limits.caller_pause), protocol: targetProtocol })
   const servers = createServers(base, { others, topics, steps, forward, isLeaving: () => leaving })
   const load = (): number => servers.isReady() ? Math.min(MOST_LOAD, servers.front.requests / settings.limits.connections) : 1
-  others.membership.tellWithProbes({ offset: () => topics.topic.position, load, reachesStore: () => links.reach.reached, pressures: () => ({}) })
+  others.membership.setProbePayload({ offset: () => topics.topic.position, load, reachesStore: () => links.reach.isReachable, pressures: () => ({}) })
 
   if (settings.metrics?.listen !== undefined) {
     const metricsServer = disposables.add(new MetricsServer(metrics, () => {
@@ -83,7 +83,7 @@
   const { callers, directory, peers } = settings.listen
   stateLog.changed('listening', { callers, directory, peers })
 
-  const reloader = new SettingsReloader(settings, readAgain, (changed) => { others.membership.setListed(changed.membership.seeds) }, stateLog)
+  const reloader = new SettingsReloader(settings, readAgain, (changed) => { others.membership.setListedAddresses(changed.membership.seeds) }, stateLog)
   disposables.add(clock.every(SETTINGS_LOOK_MS, () => { reloader.look() }))
   return {
     look: () => { reloader.look() },
--- a/test/actors/membership/manyHosts.test.ts
+++ b/test/actors/membership/manyHosts.test.ts
@@ -1,4 +1,4 @@
-/** What hosts tell each other where there are many of them, counted in one process. */
+/** Tests the membership calls between many hosts, which run in one process. */
 
 import { expect } from 'chai'
 import { start } from 'nact'
@@ -13,12 +13,12 @@
 import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
 import { ManualClock, seededChance } from '../../support/manualClock.ts'
 
-/** Time for which a host that leaves goes on serving those who still know it, less that for which callers keep an address, in milliseconds. */
-const HEARD_MS = 5500 - 2000
+/** Time for which a leaving host still serves requests, less the time for which callers keep an address, in milliseconds. */
+const ANNOUNCEMENT_DEADLINE_MS = 5500 - 2000
 
-class Neighbourhood {
+class Cluster {
   readonly hosts: Membership[] = []
-  calls = 0
+  callCount = 0
   private readonly handlers = new Map<string, (parameters: never) => Promise<unknown>>()
   private readonly chance = seededChance(5)
 
@@ -26,7 +26,7 @@
     for (let index = 0; index < count; index++) this.add(index)
   }
 
-  knowingAs (host: string, status: string): number {
+  countKnowingAs (host: string, status: string): number {
     return this.hosts.filter((membership) => membership.members().some((member) => member.host === host && member.status === status)).length
   }
 
@@ -38,7 +38,7 @@
     const address = `http://h${index}`
     const peers: Peers = {
       call: async (to: string, method: string, parameters: unknown): Promise<Result<never>> => {
-        this.calls++
+        this.callCount++
         await new Promise<void>((resolve) => { this.clock.after(2, resolve) })
         const handler = this.handlers.get(`${to} ${method}`)
         return handler === undefined ? failure('targetUnreachable', 'nobody') : success(await handler(parameters as never) as never)
@@ -46,7 +46,7 @@
     } as Peers
     const handlers: PeerHandlers = { handle: (method, handler) => { this.handlers.set(`${address} ${method}`, handler as never) } }
     this.hosts.push(new Membership({ system: start(), peers, handlers, clock: this.clock, chance: this.chance, hash: this.hash, metrics: quietMetrics, stateLog: quietLog }, {
-      seeds: ['http://h0', 'http://h1', 'http://h2'].filter((seed) => seed !== address), probePeriodMs: 500, probeTimeoutMs: 250, indirect: 2, suspicionMs: 1500, forgetMs: 600_000, fullExchangeMs: 10_000
+      seeds: ['http://h0', 'http://h1', 'http://h2'].filter((seed) => seed !== address), probePeriodMs: 500, probeTimeoutMs: 250, indirect: 2, suspicionMs: 1500, forgetMs: 600_000, fullExchangeIntervalMs: 10_000
     }, { host: asHostId(`h${index}/a`), address, place: asPlace(`p${index % 5}`) }))
   }
 }
@@ -57,24 +57,24 @@
   before(async () => { hash = await createHash() })
 
   for (const count of [12, 60, 195]) {
-    it(`know each other soon after ${count} of them start, and one that leaves tells a bounded number of them itself`, async () => {
-      // Symptom: a rolling restart of 195 hosts was 38,000 calls between hosts, as each told all others that it leaves. Those that were
-      // told pass it on with their probes: all must know before the host that leaves takes no more requests.
+    it(`know each other soon after ${count} of them start, and a leaving host notifies a bounded number of them itself`, async () => {
+      // Guards against a call storm: a rolling restart of 195 hosts took 38,000 calls between hosts, as each leaving host notified all
+      // others. The notified hosts disseminate the update with their probes; all must know it before the leaving host stops serving.
       const clock = new ManualClock()
-      const neighbourhood = new Neighbourhood(clock, hash, count)
+      const cluster = new Cluster(clock, hash, count)
       await clock.advance(MEMBERSHIP_CONVERGENCE_MS)
-      const known = neighbourhood.hosts.map((host) => host.available().length).sort((a, b) => a - b)
-      expect(known[0], 'hosts that each knows once it counts as settled').to.be.at.least(count * 2 / 3)
-      expect(known[count / 2 | 0], 'hosts that half of them know').to.equal(count)
+      const knownCounts = cluster.hosts.map((host) => host.available().length).sort((a, b) => a - b)
+      expect(knownCounts[0], 'fewest hosts known to a host when it counts as settled').to.be.at.least(count * 2 / 3)
+      expect(knownCounts[count / 2 | 0], 'median number of known hosts').to.equal(count)
       await clock.advance(5000)
-      expect(Math.min(...neighbourhood.hosts.map((host) => host.available().length)), 'hosts that each knows').to.equal(count)
-      neighbourhood.calls = 0
-      neighbourhood.hosts[3]?.leave()
-      expect(neighbourhood.calls, 'calls of the host that leaves').to.be.at.most(24)
-      await clock.advance(HEARD_MS)
-      expect(neighbourhood.knowingAs('h3/a', 'leaving'), 'hosts that know').to.equal(count)
-      expect(neighbourhood.calls / count / (HEARD_MS / 1000), 'calls a second and host').to.be.at.most(2.5 + 24 / count)
-      neighbourhood.dispose()
+      expect(Math.min(...cluster.hosts.map((host) => host.available().length)), 'fewest hosts known to a host').to.equal(count)
+      cluster.callCount = 0
+      cluster.hosts[3]?.leave()
+      expect(cluster.callCount, 'calls of the leaving host').to.be.at.most(24)
+      await clock.advance(ANNOUNCEMENT_DEADLINE_MS)
+      expect(cluster.countKnowingAs('h3/a', 'leaving'), 'hosts that know of the leaving host').to.equal(count)
+      expect(cluster.callCount / count / (ANNOUNCEMENT_DEADLINE_MS / 1000), 'calls per second and host').to.be.at.most(2.5 + 24 / count)
+      cluster.dispose()
     })
   }
 })
--- a/test/actors/routes/endsCleaner.test.ts
+++ b/test/actors/routes/endsCleaner.test.ts
@@ -29,7 +29,7 @@
     const table = new TargetTable({ clock: this.clock, stateLog: quietLog })
     const client = new ScriptedClient(this.clock, {})
     this.guards = guards(table, client, this.clock, { log: this.log })
-    const appender = new GroupAppender({ log: this.log, clock: this.clock, chance: seededChance(9), metrics: quietMetrics }, { callCharacters: 100_000 })
+    const appender = new GroupAppender({ log: this.log, clock: this.clock, chance: seededChance(9), metrics: quietMetrics }, { maxCallCharacters: 100_000 })
     this.cleaner = new EndsCleaner({ held: this.guards.held, appender, duty: this.duty, clock: this.clock, stateLog: quietLog })
     for (const id of ['1', '2']) {
       table.set(targetDefinition({ id, address: id }))
--- a/test/actors/routing/grantClient.test.ts
+++ b/test/actors/routing/grantClient.test.ts
@@ -1,4 +1,4 @@
-/** The holder side of admission, over fakes. */
+/** Tests the holder side of admission with fake services. */
 
 import { expect } from 'chai'
 import { asHostId, asPlace, asPoolName, asTargetName, shardKey } from '../../../src/base/common/ids.ts'
@@ -12,14 +12,14 @@
 const shard = shardKey(asPoolName('drafter'), asPlace('Abdali'))
 const home = { host: asHostId('home'), address: 'http://home', place: asPlace('Abdali'), status: 'alive' as const, incarnation: 1, since: 0 }
 
-/** A client whose home answers by a script. */
+/** Creates a client whose home answers with the given function. */
 function clientWith (answer: (request: AcquireRequest, client: () => GrantClient) => Promise<AcquireAnswer>): { client: GrantClient, released: string[] } {
   const released: string[] = []
   const services = {
-    membership: { self: { ...home, host: asHostId('here') }, onChange: () => ({ dispose: () => undefined }), pressureOf: () => undefined, doubt: () => undefined },
+    membership: { self: { ...home, host: asHostId('here') }, onChange: () => ({ dispose: () => undefined }), pressureOf: () => undefined, probeNow: () => undefined },
     directory: { shardsOf: () => [shard] },
-    homes: { ofShard: () => home },
-    local: {},
+    homes: { homeOfShard: () => home },
+    localAdmission: {},
     peers: {
       call: async (_address: string, method: string, parameters: { request: AcquireRequest, grant: string }) => {
         if (method === 'admission.acquire') return success(await answer(parameters.request, () => client))
@@ -41,26 +41,25 @@
   return { type: 'granted', grant, address: 'http://t', pressure: 0 }
 }
 
-const wish = { pool: asPoolName('drafter'), workClass: 'rollout' as const, priority: 10, flow: 'drafts', share: 1, caller: 'drafts', callerLimit: 10, until: Number.MAX_SAFE_INTEGER, exclude: [] }
+const slotRequest = { pool: asPoolName('drafter'), workClass: 'rollout' as const, priority: 10, flow: 'drafts', share: 1, caller: 'drafts', callerLimit: 10, deadline: Number.MAX_SAFE_INTEGER, exclude: [] }
 
-describe('the holder of grants', () => {
+describe('GrantClient', () => {
   /*
-   * Symptom: interactive requests wait seconds behind rollouts that should have made room.
-   * Sequence: a rollout is granted a slot; an interactive request comes at once; the home's wish
-   * to have the slot back reaches the holder before the answer that granted it.
-   * Cause: the holder does not know the grant yet and drops the wish; the rollout runs to its end.
+   * Guards against interactive requests that wait for seconds behind rollouts which should have been preempted: an
+   * interactive request arrives right after a rollout was granted a slot, and the revocation reaches the holder before
+   * the answer that grants the slot. If the holder drops a revocation of an unknown grant, the rollout runs to its end.
    */
-  it('gives a slot back that was asked back before the grant was read', async () => {
+  it('applies a revocation that arrives before the grant', async () => {
     const { client } = clientWith(async (request, self) => {
       self().revoke(request.grant)
       return granted(request)
     })
-    const grant = await client.acquire(wish)
+    const grant = await client.acquire(slotRequest)
     expect(grant.ok && grant.value.revoked.aborted).to.equal(true)
     client.dispose()
   })
 
-  it('gives back a slot that is granted after the asker has gone', async () => {
+  it('releases a slot that is granted after the request was cancelled', async () => {
     const gone = new AbortController()
     let answer: ((value: AcquireAnswer) => void) | undefined
     let asked: AcquireRequest | undefined
@@ -68,7 +67,7 @@
       asked = request
       answer = resolve
     }))
-    const waiting = client.acquire({ ...wish, signal: gone.signal })
+    const waiting = client.acquire({ ...slotRequest, signal: gone.signal })
     await new Promise((resolve) => setTimeout(resolve, 5))
     gone.abort()
     expect((await waiting).ok).to.equal(false)
--- a/test/actors/steps/contentsLoad.test.ts
+++ b/test/actors/steps/contentsLoad.test.ts
@@ -77,7 +77,7 @@
       let drawn = 0
       const id = (): string => `${index}-${drawn++}`
       const services = { log: store.reader(), clock, chance: { id, next: () => 0.5 }, metrics: quietMetrics, stateLog: quietLog }
-      return new StepContents({ ...services, holders: noHolders, appender: new GroupAppender(services, { callCharacters: 1_000_000 }) })
+      return new StepContents({ ...services, holders: noHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
     })
     const [writer, reader] = [contents[0], contents[1]]
     if (writer === undefined || reader === undefined) throw new Error('there are hosts')
--- a/test/actors/steps/stepContents.test.ts
+++ b/test/actors/steps/stepContents.test.ts
@@ -55,7 +55,7 @@
       return `${own}-nonce-${drawn}`
     }
     const services = { log: keyed, clock, chance: { id, next: () => 0.5 }, metrics: quietMetrics, stateLog: quietLog }
-    return new StepContents({ ...services, holders: noHolders, appender: new GroupAppender(services, { callCharacters: 1_000_000 }) })
+    return new StepContents({ ...services, holders: noHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
   }
 
   async function soon<T> (asked: Promise<T>): Promise<T> {
--- a/test/actors/steps/textsOfHosts.test.ts
+++ b/test/actors/steps/textsOfHosts.test.ts
@@ -46,7 +46,7 @@
     const metrics = { ...quietMetrics, count: (counter: CounterName, by = 1) => { counted.set(counter, (counted.get(counter) ?? 0) + by) } }
     const services = { log, clock, chance: { id: () => `${name}-${drawn++}`, next: () => 0.5 }, metrics, stateLog: quietLog }
     const holders = new ContentHolders({ peers, metrics, placeOf: (address) => address === 'http://writer' ? 'a' : 'b' }, { address: `http://${name}`, place: name === 'writer' ? 'a' : 'b' })
-    const contents = new StepContents({ ...services, holders, appender: new GroupAppender(services, { callCharacters: 1_000_000 }) })
+    const contents = new StepContents({ ...services, holders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
     serveContents({ handle: (method, handler) => { handlers.set(`http://${name} ${method}`, handler as never) } } satisfies PeerHandlers, contents)
     return contents
   }
--- a/test/actors/store/appendNotes.test.ts
+++ b/test/actors/store/appendFailureLogger.test.ts
@@ -1,7 +1,7 @@
-/** Lines about appends that were refused or not answered, with the way that they went. */
+/** Tests the log lines about appends that were refused or not answered. */
 
 import { expect } from 'chai'
-import { AppendNotes } from '../../../src/actors/common/store/appendNotes.ts'
+import { AppendFailureLogger } from '../../../src/actors/common/store/appendFailureLogger.ts'
 import { failure, success } from '../../../src/base/common/resultCode.ts'
 import type { Result } from '../../../src/base/common/resultCode.ts'
 import type { KeyedLog } from '../../../src/ports/common/keyedLog.ts'
@@ -12,9 +12,9 @@
 
 const records = [{ key: 'result/s/i/1', value: '{}' }, { key: 'end/s', value: '{}' }]
 
-describe('appends without success', () => {
-  // In an incident a step was accepted and its end never confirmed. No line told whether an append was
-  // refused or unanswered, nor through which host it had gone.
+describe('AppendFailureLogger', () => {
+  // Guards against appends that fail without a trace: a step was accepted and its end never confirmed, and no log line
+  // showed whether an append was refused or unanswered, nor through which host it was sent.
   let clock: ManualClock
   let log: RecordedLog
   let answer: Result<number>
@@ -24,13 +24,13 @@
   beforeEach(() => {
     clock = new ManualClock()
     log = new RecordedLog()
-    const notes = new AppendNotes({ clock, stateLog: log })
+    const logger = new AppendFailureLogger({ clock, stateLog: log })
     const memory = new MemoryKeyedLog()
-    direct = notes.ofLog('t', { append: async () => { clock.freeze(30); return answer }, read: async (from) => await memory.read(from), readSome: async (from, kilobytes) => await memory.readSome(from, kilobytes), newest: async (after) => await memory.newest(after) })
-    peers = notes.ofPeers({ call: async (address) => (address === 'silent' ? failure('unknownOutcome', 'no answer') : success(answer)) as never })
+    direct = logger.wrapLog('t', { append: async () => { clock.freeze(30); return answer }, read: async (from) => await memory.read(from), readSome: async (from, kilobytes) => await memory.readSome(from, kilobytes), newest: async (after) => await memory.newest(after) })
+    peers = logger.wrapPeers({ call: async (address) => (address === 'silent' ? failure('unknownOutcome', 'no answer') : success(answer)) as never })
   })
 
-  it('have a line with topic, records, first key, way, code and time; those with success have none', async () => {
+  it('logs topic, records, first key, route, code and time of a failed append, and nothing for a successful one', async () => {
     answer = success(1)
     await direct.append(records)
     answer = failure('commandUnknown', 'no answer')
@@ -38,7 +38,7 @@
     expect(log.lines).to.deep.equal([{ what: 'append not confirmed', details: { topic: 't', records: 2, key: 'result/s/i/1', way: 'direct', code: 'commandUnknown', tookMs: 30, failed: true, unwritten: 0 } }])
   })
 
-  it('name the host that they went through, and whether it was silent', async () => {
+  it('logs the address of the relaying host, and the code if that host did not answer', async () => {
     answer = failure('logUnavailable', 'refused')
     await peers.call('helper', 'store.append', { topic: 't', records }, 100)
     await peers.call('silent', 'store.append', { topic: 't', records }, 100)
@@ -46,7 +46,7 @@
     expect(log.of('append not confirmed').map(({ way, code }) => `${String(way)} ${String(code)}`)).to.deep.equal(['helper logUnavailable', 'silent unknownOutcome'])
   })
 
-  it('are told of once a second and way while they are refused, with the number of others', async () => {
+  it('logs refusals at most once per second and route, with the number of suppressed ones', async () => {
     answer = failure('logUnavailable', 'refused')
     for (let turn = 0; turn < 20; turn++) {
       await direct.append(records)
