--- a/test/actors/store/store.test.ts
+++ b/test/actors/store/store.test.ts
@@ -1,4 +1,4 @@
-/** Following, appending to and getting around to a keyed topic, under the faults of a store. */
+/** Tests following, appending to and relaying a keyed topic under faults of the store. */
 
 import { expect } from 'chai'
 import { GroupAppender } from '../../../src/actors/common/store/groupAppender.ts'
@@ -6,7 +6,7 @@
 import { RelayedKeyedLog } from '../../../src/actors/common/store/relayedKeyedLog.ts'
 import type { Disposable } from '../../../src/base/common/lifecycle.ts'
 import { Emitter, toDisposable } from '../../../src/base/common/lifecycle.ts'
-import { StoreReach } from '../../../src/actors/common/store/storeReach.ts'
+import { StoreReachability } from '../../../src/actors/common/store/storeReachability.ts'
 import { failure, success } from '../../../src/base/common/resultCode.ts'
 import type { KeyedEntry, KeyedLog } from '../../../src/ports/common/keyedLog.ts'
 import type { PeerMethod, PeerMethods, Peers } from '../../../src/ports/common/peers.ts'
@@ -14,17 +14,17 @@
 import { ManualClock, seededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
-const never = (): Disposable => toDisposable(() => undefined)
+const noEvent = (): Disposable => toDisposable(() => undefined)
 const record = (key: string, value = key) => ({ key, value })
 
-describe('the tail of a keyed topic', () => {
+describe('KeyedTail', () => {
   let clock: ManualClock
   let log: MemoryKeyedLog
-  let seen: string[]
+  let receivedKeys: string[]
   let tail: KeyedTail
 
-  /** Reads of the memory log answer at once; a pause between them keeps the loop from spinning. */
-  const polled = (): KeyedLog => ({
+  /** Delays long polls, as reads of the memory log return at once and the read loop would spin. */
+  const delayedReads = (): KeyedLog => ({
     append: async (records) => await log.append(records),
     newest: async (after) => await log.newest(after),
     readSome: async (from, kilobytes) => await log.readSome(from, kilobytes),
@@ -37,34 +37,34 @@
   beforeEach(() => {
     clock = new ManualClock()
     log = new MemoryKeyedLog()
-    seen = []
-    const take = (entries: readonly KeyedEntry[]): void => { seen.push(...entries.map(({ key }) => key)) }
-    tail = new KeyedTail({ log: polled(), clock, metrics: quietMetrics, stateLog: quietLog, onRegained: never }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: (entries) => { seen.push('reset'); take(entries) }, apply: take })
+    receivedKeys = []
+    const take = (entries: readonly KeyedEntry[]): void => { receivedKeys.push(...entries.map(({ key }) => key)) }
+    tail = new KeyedTail({ log: delayedReads(), clock, metrics: quietMetrics, stateLog: quietLog, onRegained: noEvent }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: (entries) => { receivedKeys.push('reset'); take(entries) }, apply: take })
   })
   afterEach(() => { tail.dispose() })
 
-  it('loads newest records in their order, then follows', async () => {
+  it('loads the newest records in order, then follows the topic', async () => {
     log.write([record('c'), record('a'), record('b'), record('c'), record('d'), record('e')])
     tail.start()
     await clock.advance(50)
     log.write([record('f')])
     await clock.advance(50)
-    expect(seen).to.deep.equal(['reset', 'a', 'b', 'c', 'd', 'e', 'f'])
+    expect(receivedKeys).to.deep.equal(['reset', 'a', 'b', 'c', 'd', 'e', 'f'])
   })
 
-  it('starts over when the history is gone', async () => {
-    // Symptom: a host that was frozen for longer than the store keeps history ran on what it knew
-    // before. It asked for records that were gone and took the refusal for an outage.
+  it('reloads when the history is gone', async () => {
+    // Guards against a host that keeps using outdated data after it was frozen for longer than the store keeps history:
+    // it asked for records that were gone and took the refusal for an outage.
     log.write([record('a')])
     tail.start()
     await clock.advance(50)
     log.write([record('b'), record('c')])
     log.first = 3
     await clock.advance(50)
-    expect(seen).to.deep.equal(['reset', 'a', 'reset', 'a', 'b', 'c'])
+    expect(receivedKeys).to.deep.equal(['reset', 'a', 'reset', 'a', 'b', 'c'])
   })
 
-  it('goes on after an outage and knows since when', async () => {
+  it('continues after an outage and records when it ended', async () => {
     tail.start()
     await clock.advance(50)
     log.down = true
@@ -73,19 +73,19 @@
     log.down = false
     log.write([record('a')])
     await clock.advance(300)
-    expect(seen).to.deep.equal(['reset', 'a'])
+    expect(receivedKeys).to.deep.equal(['reset', 'a'])
     expect(tail.isLost).to.equal(false)
     expect(clock.now - tail.regainedAt).to.be.lessThan(300)
   })
 
-  it('asks a store that is away ever less often, and at once when it is back', async () => {
-    // While the store was away for four seconds, 84 hosts spent four times their usual processor time: each of their topics was
-    // asked for ten times a second, directly or through two other hosts that did not reach the store either.
+  it('backs off while the store is unavailable, and reads at once when it is back', async () => {
+    // Guards against load from retries: while the store was unavailable for four seconds, 84 hosts used four times their usual processor
+    // time. Each topic was read ten times per second, directly or through two other hosts that did not reach the store either.
     const regains = new Emitter<void>()
     let reads = 0
-    const counting: KeyedLog = { ...polled(), read: async (from, waitMs) => { reads++; return log.down ? failure('logUnavailable', 'away') : await polled().read(from, waitMs) } }
-    const patient = new KeyedTail({ log: counting, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: regains.event }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: () => undefined, apply: (entries) => { seen.push(...entries.map(({ key }) => key)) } })
-    patient.start()
+    const countingLog: KeyedLog = { ...delayedReads(), read: async (from, waitMs) => { reads++; return log.down ? failure('logUnavailable', 'away') : await delayedReads().read(from, waitMs) } }
+    const followingTail = new KeyedTail({ log: countingLog, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: regains.event }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: () => undefined, apply: (entries) => { receivedKeys.push(...entries.map(({ key }) => key)) } })
+    followingTail.start()
     await clock.advance(50)
     log.down = true
     await clock.advance(100)
@@ -97,35 +97,35 @@
     log.write([record('a')])
     regains.fire()
     await clock.advance(30)
-    expect(seen).to.deep.equal(['a'])
+    expect(receivedKeys).to.deep.equal(['a'])
     log.down = true
     await clock.advance(150)
     log.down = false
     log.write([record('b')])
     await clock.advance(250)
-    expect(seen, 'a short outage is over at once').to.deep.equal(['a', 'b'])
-    patient.dispose()
+    expect(receivedKeys, 'records after a short outage are read at once').to.deep.equal(['a', 'b'])
+    followingTail.dispose()
   })
 
-  it('reads on at once when the store is back while a read is under way', async () => {
-    // A host went on with what it knew for most of a second after the store was back: the read that was given up
-    // then counted as one more failure of the outage, and the longest pause followed.
+  it('reads at once when the store is back while a read is in progress', async () => {
+    // Guards against a host that uses outdated data for most of a second after the store is back: the read that is aborted
+    // then counted as a further failure of the outage, and the maximum pause followed.
     const regains = new Emitter<void>()
     const reads: number[] = []
     let mode: 'up' | 'fails' | 'hangs' = 'up'
-    const failing: KeyedLog = {
-      ...polled(),
+    const failingLog: KeyedLog = {
+      ...delayedReads(),
       read: async (from, waitMs, givenUp) => {
         reads.push(clock.now)
         switch (mode) {
-          case 'up': return await polled().read(from, waitMs)
+          case 'up': return await delayedReads().read(from, waitMs)
           case 'fails': return failure('logUnavailable', 'away')
           case 'hangs': return await new Promise((resolve) => { givenUp?.addEventListener('abort', () => { resolve(failure('commandUnknown', 'given up')) }) })
         }
       }
     }
-    const late = new KeyedTail({ log: failing, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: regains.event }, { name: 't', longPollMs: 100, pauseMs: () => 0 }, { reset: () => undefined, apply: () => undefined })
-    late.start()
+    const followingTail = new KeyedTail({ log: failingLog, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: regains.event }, { name: 't', longPollMs: 100, pauseMs: () => 0 }, { reset: () => undefined, apply: () => undefined })
+    followingTail.start()
     await clock.advance(100)
     mode = 'fails'
     await clock.advance(4000)
@@ -135,21 +135,21 @@
     const back = clock.now
     regains.fire()
     await clock.advance(1000)
-    late.dispose()
+    followingTail.dispose()
     expect((reads.find((at) => at >= back) ?? Number.POSITIVE_INFINITY) - back).to.be.at.most(100)
   })
 
-  it('gives a record once though a look and the loop read it', async () => {
+  it('passes a record on once though both catchUp and the loop read it', async () => {
     tail.start()
     await clock.advance(50)
     log.write([record('a'), record('b')])
     expect(await tail.catchUp()).to.equal(true)
-    expect(seen).to.deep.equal(['reset', 'a', 'b'])
+    expect(receivedKeys).to.deep.equal(['reset', 'a', 'b'])
     await clock.advance(100)
-    expect(seen).to.deep.equal(['reset', 'a', 'b'])
+    expect(receivedKeys).to.deep.equal(['reset', 'a', 'b'])
   })
 
-  it('does not claim to have caught up while the store is away', async () => {
+  it('does not report to have caught up while the store is unavailable', async () => {
     tail.start()
     await clock.advance(50)
     log.down = true
@@ -157,7 +157,7 @@
   })
 })
 
-describe('the appender of a keyed topic', () => {
+describe('GroupAppender', () => {
   const clock = new ManualClock()
   let log: MemoryKeyedLog
   let appender: GroupAppender
@@ -165,12 +165,12 @@
 
   beforeEach(() => {
     log = new MemoryKeyedLog()
-    appender = new GroupAppender({ log, clock, chance: seededChance(1), metrics: quietMetrics }, { callCharacters: 100 })
+    appender = new GroupAppender({ log, clock, chance: seededChance(1), metrics: quietMetrics }, { maxCallCharacters: 100 })
   })
 
   const append = (name: string, timeoutMs = 1000): ReturnType<GroupAppender['append']> => appender.append((nonce) => [record(`${name}/${nonce}`)], timeoutMs)
 
-  it('gathers what comes while a call is under way', async () => {
+  it('batches appends that arrive while a call is in progress', async () => {
     const all = Promise.all(['a', 'b', 'c', 'd'].map(async (name) => await append(name)))
     await clock.advance(10)
     expect((await all).every(({ ok }) => ok)).to.equal(true)
@@ -178,16 +178,16 @@
     expect(keys()).to.deep.equal(['a', 'b', 'c', 'd'])
   })
 
-  it('keeps to the size of a call', async () => {
+  it('keeps to the maximum size of a call', async () => {
     const big = Promise.all(['a', 'b', 'c'].map(async (name) => await appender.append(() => [record(name, 'x'.repeat(60))], 1000)))
     await clock.advance(10)
     await big
     expect(log.appends).to.equal(3)
   })
 
-  it('writes again under another key after a lost answer', async () => {
-    // Symptom: after a restart two results had changed places. An append whose answer was lost was
-    // repeated under the same key; the later record replaced the earlier one and its place.
+  it('writes again with another key after a lost answer', async () => {
+    // Guards against two results that change positions after a restart: an append whose answer was lost was repeated with
+    // the same key, and the later record replaced the earlier one and its position.
     log.loseAnswers = 1
     const done = append('a')
     await clock.advance(200)
@@ -196,7 +196,7 @@
     expect(new Set(log.entries.map(({ key }) => key)).size).to.equal(2)
   })
 
-  it('says that nothing was done only if every try was refused', async () => {
+  it('reports that nothing was appended only if every attempt was refused', async () => {
     log.down = true
     const refused = append('a', 300)
     await clock.advance(500)
@@ -211,89 +211,89 @@
   })
 })
 
-describe('the way around to the store', () => {
+describe('RelayedKeyedLog', () => {
   const clock = new ManualClock()
   let direct: MemoryKeyedLog
-  let far: MemoryKeyedLog
-  let asked: string[]
+  let relayedStore: MemoryKeyedLog
+  let relayCalls: string[]
   let helpers: string[]
-  let relayed: RelayedKeyedLog
-  let silentHelper: boolean
-  let reach: StoreReach
+  let relayedLog: RelayedKeyedLog
+  let helperIsSilent: boolean
+  let reachability: StoreReachability
 
   const peers: Peers = {
     call: async <Method extends PeerMethod>(address: string, method: Method, parameters: PeerMethods[Method]['parameters']) => {
-      asked.push(`${address} ${method}`)
-      if (silentHelper) return failure('unknownOutcome', 'no answer')
-      if (method === 'store.append') return success(await far.append((parameters as PeerMethods['store.append']['parameters']).records)) as never
-      if (method === 'store.read') return success(await far.read((parameters as PeerMethods['store.read']['parameters']).from)) as never
-      return success(await far.newest(undefined)) as never
+      relayCalls.push(`${address} ${method}`)
+      if (helperIsSilent) return failure('unknownOutcome', 'no answer')
+      if (method === 'store.append') return success(await relayedStore.append((parameters as PeerMethods['store.append']['parameters']).records)) as never
+      if (method === 'store.read') return success(await relayedStore.read((parameters as PeerMethods['store.read']['parameters']).from)) as never
+      return success(await relayedStore.newest(undefined)) as never
     }
   }
 
   beforeEach(() => {
     direct = new MemoryKeyedLog()
-    far = new MemoryKeyedLog()
-    asked = []
+    relayedStore = new MemoryKeyedLog()
+    relayCalls = []
     helpers = ['one', 'two', 'three']
-    silentHelper = false
-    reach = new StoreReach(clock, async () => !direct.down)
-    relayed = new RelayedKeyedLog({ peers, helpers: () => helpers, reach, metrics: quietMetrics }, direct, 't')
+    helperIsSilent = false
+    reachability = new StoreReachability(clock, async () => !direct.down)
+    relayedLog = new RelayedKeyedLog({ peers, helpers: () => helpers, reach: reachability, metrics: quietMetrics }, direct, 't')
   })
 
-  it('is not used while the store answers', async () => {
-    expect((await relayed.append([record('a')])).ok).to.equal(true)
-    expect(asked).to.deep.equal([])
+  it('calls no other host while the store answers', async () => {
+    expect((await relayedLog.append([record('a')])).ok).to.equal(true)
+    expect(relayCalls).to.deep.equal([])
   })
 
   it('appends and reads through another host when the store refuses', async () => {
     direct.down = true
-    expect(await relayed.append([record('a')])).to.deep.equal({ ok: true, value: 0 })
-    expect((await relayed.read(0, 100)).ok).to.equal(true)
-    expect(asked).to.deep.equal(['one store.append', 'one store.read'])
-    expect(far.entries).to.have.length(1)
+    expect(await relayedLog.append([record('a')])).to.deep.equal({ ok: true, value: 0 })
+    expect((await relayedLog.read(0, 100)).ok).to.equal(true)
+    expect(relayCalls).to.deep.equal(['one store.append', 'one store.read'])
+    expect(relayedStore.entries).to.have.length(1)
   })
 
-  it('is not used for an append that may be done yet', async () => {
-    // The author repeats it under another key; done twice under one key it would change its place.
+  it('does not relay an append that may still be applied', async () => {
+    // The caller repeats it with another key. Applied twice with one key, the record would change its position.
     direct.delayAppends = 1
-    expect(await relayed.append([record('a')])).to.include({ code: 'commandUnknown' })
-    expect(asked).to.deep.equal([])
+    expect(await relayedLog.append([record('a')])).to.include({ code: 'commandUnknown' })
+    expect(relayCalls).to.deep.equal([])
   })
 
-  it('is left again as soon as a probe of the store is answered, and those who wait hear it', async () => {
-    // Symptom: a result was listed two seconds after the end of an outage, when its host had lost power.
-    // Each call ran into its own time limit, also those begun just before the store came back.
-    let heard = 0
-    reach.onRegained(() => { heard++ })
+  it('calls the store directly again as soon as a probe is answered, and notifies listeners', async () => {
+    // Guards against a result that is listed only two seconds after the end of an outage, by when its host had lost power:
+    // each call ran into its own timeout, also those begun just before the store came back.
+    let notificationCount = 0
+    reachability.onRegained(() => { notificationCount++ })
     direct.down = true
-    await relayed.read(0, 100)
+    await relayedLog.read(0, 100)
     await clock.advance(1000)
-    await relayed.read(0, 100)
-    expect([asked.length, heard]).to.deep.equal([2, 0])
+    await relayedLog.read(0, 100)
+    expect([relayCalls.length, notificationCount]).to.deep.equal([2, 0])
     direct.down = false
     await clock.advance(200)
-    expect(heard).to.equal(1)
-    await relayed.read(0, 100)
-    expect(asked).to.have.length(2)
+    expect(notificationCount).to.equal(1)
+    await relayedLog.read(0, 100)
+    expect(relayCalls).to.have.length(2)
   })
 
-  it('asks two hosts at most, and says that nothing was done if they are refused too', async () => {
+  it('calls at most two other hosts, and reports that nothing was appended if they are refused too', async () => {
     direct.down = true
-    far.down = true
-    expect(await relayed.append([record('a')])).to.include({ code: 'logUnavailable' })
-    expect(asked).to.deep.equal(['one store.append', 'two store.append'])
+    relayedStore.down = true
+    expect(await relayedLog.append([record('a')])).to.include({ code: 'logUnavailable' })
+    expect(relayCalls).to.deep.equal(['one store.append', 'two store.append'])
   })
 
-  it('does not know what a silent helper did', async () => {
+  it('reports an unknown outcome if a relay host does not answer', async () => {
     direct.down = true
-    silentHelper = true
-    expect(await relayed.append([record('a')])).to.include({ code: 'commandUnknown' })
+    helperIsSilent = true
+    expect(await relayedLog.append([record('a')])).to.include({ code: 'commandUnknown' })
   })
 
-  it('says what the store said where there is no other host', async () => {
+  it('returns the failure of the store if there is no other host', async () => {
     direct.down = true
     helpers = []
-    expect(await relayed.append([record('a')])).to.include({ code: 'logUnavailable' })
+    expect(await relayedLog.append([record('a')])).to.include({ code: 'logUnavailable' })
   })
 })
--- a/test/support/fakeHost.ts
+++ b/test/support/fakeHost.ts
@@ -7,8 +7,8 @@
 import { Appender } from '../../src/actors/common/log/appender.ts'
 import { ControlLog } from '../../src/actors/common/log/controlLog.ts'
 import { ServiceCalls } from '../../src/actors/common/requests/serviceCalls.ts'
-import { Payloads } from '../../src/actors/common/samples/payloads.ts'
-import { TrainerDesk } from '../../src/actors/common/samples/trainerDesk.ts'
+import { PayloadStore } from '../../src/actors/common/samples/payloadStore.ts'
+import { TrainerService } from '../../src/actors/common/samples/trainerService.ts'
 import type { HostId } from '../../src/base/common/ids.ts'
 import { asHostId, asTargetName } from '../../src/base/common/ids.ts'
 import { failure, success } from '../../src/base/common/resultCode.ts'
@@ -75,7 +75,7 @@
   readonly fold: ControlLog
   readonly appender: Appender
   readonly calls: ServiceCalls
-  readonly trainerDesk: TrainerDesk
+  readonly trainerDesk: TrainerService
   private awake: Promise<void> = Promise.resolve()
   private wakeUp: (() => void) | undefined
   readonly id: HostId
@@ -93,7 +93,7 @@
     }
     const serviceAdapter: Service = { call: async (_address, call) => await this.through(() => service.call(call)) }
     const base = { system, clock, chance, hash: plainHash, metrics: quietMetrics, stateLog: quietLog }
-    this.fold = new ControlLog({ ...base, log: port, peers: noPeers, handlers: noHandlers, directory: { peerAddresses: () => [], placeLost: () => false } }, { longPollMs: 100, readPauseMs: 30, freshnessMs: 1000, relayEntries: 100 })
+    this.fold = new ControlLog({ ...base, log: port, peers: noPeers, handlers: noHandlers, directory: { peerAddresses: () => [], isAnyFailureDomainLost: () => false } }, { longPollMs: 100, readPauseMs: 30, freshnessMs: 1000, relayEntries: 100 })
     this.appender = new Appender({ ...base, log: port, fold: this.fold }, { batchDelayMs: 1, queue: 1000 })
     this.calls = new ServiceCalls({
       ...base,
@@ -104,7 +104,7 @@
       membership: { members: members as never },
       budget: new RetryBudget({ ratio: 0, maximum: 0 })
     }, { claimWaitMs: 500, host: this.id })
-    this.trainerDesk = new TrainerDesk({ ...base, fold: this.fold, appender: this.appender, payloads: new Payloads(port) }, 500)
+    this.trainerDesk = new TrainerService({ ...base, fold: this.fold, appender: this.appender, payloads: new PayloadStore(port) }, 500)
   }
 
   freeze (): void {
--- a/test/support/targetEnds.ts
+++ b/test/support/targetEnds.ts
@@ -55,6 +55,6 @@
   const ends = watchEnds(targets, client, clock, stateLog)
   const followed = new FollowedLog(log)
   const services = { clock, chance: seededChance(seed), metrics: quietMetrics, stateLog }
-  const appender = new GroupAppender({ ...services, log }, { callCharacters: 100_000 })
+  const appender = new GroupAppender({ ...services, log }, { maxCallCharacters: 100_000 })
   return { ends, followed, held: new HeldRequests({ ...services, ends, targets, topic: followed, appender, fingerprints: sha256Fingerprints, mechanisms: { ...allMechanisms, held_requests: held } }) }
 }
