--- a/src/actors/common/duties/dutyStanding.ts
+++ b/src/actors/common/duties/dutyCandidacy.ts
@@ -1,4 +1,4 @@
-/** What a host is among those that may have a duty, from the hosts that it knows. */
+/** Computes the rank of a host among the hosts that may have a duty, based on the known members. */
 
 import type { HostId } from '../../../base/common/ids.ts'
 import type { HostRanking } from '../../../core/common/duties/dutyOrder.ts'
@@ -7,38 +7,38 @@
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { MembershipView } from '../membership/membership.ts'
 
-export interface DutyStandingServices {
+export interface DutyCandidacyServices {
   readonly membership: Pick<MembershipView, 'available' | 'onChange'>
   readonly hash: Hash
   readonly clock: Clock
 }
 
-export interface DutyStandingSettings {
+export interface DutyCandidacySettings {
   readonly duty: string
   readonly host: HostId
-  /** Usual cores that this host may use; absent where sizes do not count. */
+  /** Number of standard cores that this host may use; `undefined` if host sizes are ignored. */
   readonly processor: number | undefined
 }
 
-export class DutyStanding {
+export class DutyCandidacy {
   private readonly startedAt: number
   private known: Pick<HostRanking, 'rank' | 'hosts'> | undefined
 
-  constructor (private readonly services: DutyStandingServices, private readonly settings: DutyStandingSettings) {
+  constructor (private readonly services: DutyCandidacyServices, private readonly settings: DutyCandidacySettings) {
     this.startedAt = services.clock.monotonic()
     services.membership.onChange(() => { this.known = undefined })
   }
 
-  get now (): HostRanking {
-    this.known ??= this.lookUp()
+  get current (): HostRanking {
+    this.known ??= this.computeRank()
     return { ...this.known, converged: this.services.clock.monotonic() - this.startedAt >= MEMBERSHIP_CONVERGENCE_MS, small: isSmallHost(this.settings.processor) }
   }
 
-  /** A host that is leaving is none of those that may have the duty, and comes last. */
-  private lookUp (): Pick<HostRanking, 'rank' | 'hosts'> {
+  /** A host that is leaving cannot have the duty and ranks last. */
+  private computeRank (): Pick<HostRanking, 'rank' | 'hosts'> {
     const hosts = this.services.membership.available()
-    const counted = this.settings.processor === undefined ? hosts.map(({ host, place }) => ({ host, place })) : hosts
-    const rank = rankHostsForDuty(this.services.hash, this.settings.duty, counted).findIndex(({ host }) => host === this.settings.host)
+    const ranked = this.settings.processor === undefined ? hosts.map(({ host, place }) => ({ host, place })) : hosts
+    const rank = rankHostsForDuty(this.services.hash, this.settings.duty, ranked).findIndex(({ host }) => host === this.settings.host)
     return { rank: rank < 0 ? hosts.length : rank, hosts: hosts.length }
   }
 }
--- a/src/actors/common/routes/endsCleaner.ts
+++ b/src/actors/common/routes/endsCleaner.ts
@@ -7,14 +7,14 @@
 import { tombstone } from '../../../core/common/keyedRecords.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { StateLog } from '../../../ports/common/observation.ts'
-import type { DutyKeeper } from '../duties/dutyKeeper.ts'
+import type { DutyLeaseManager } from '../duties/dutyLeaseManager.ts'
 import type { GroupAppender } from '../store/groupAppender.ts'
 import type { HeldRequests } from './heldRequests.ts'
 
 export interface EndsCleanerServices {
   readonly held: Pick<HeldRequests, 'outdatedKeys'>
   readonly appender: Pick<GroupAppender, 'append'>
-  readonly duty: Pick<DutyKeeper, 'holds'>
+  readonly duty: Pick<DutyLeaseManager, 'holds'>
   readonly clock: Clock
   readonly stateLog: StateLog
 }
--- a/src/actors/common/steps/engineBoard.ts
+++ b/src/actors/common/steps/engineRegistry.ts
@@ -1,4 +1,4 @@
-/** The engines of all services as the host that runs the steps knows them: versions, runs, speed. */
+/** Tracks the engines of all services on the host that runs the steps: model versions, active runs and speed. */
 
 import type { EngineLoad } from '../../../core/common/steps/engineChoice.ts'
 import { EnginePace, relativeSlowness } from '../../../core/common/steps/enginePace.ts'
@@ -9,24 +9,24 @@
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { KnownTarget, TargetTable } from '../routes/targetTable.ts'
 
-/** How long an engine that refused is not asked again, in milliseconds: about the time of an item's shortest run. */
-const REFUSED_MS = 80
-/** Groups whose prompts an engine is taken to have read. */
-const REMEMBERED_PROMPTS = 64
+/** An engine that refused an item gets no new one for about the duration of the shortest run. */
+const REFUSAL_BACKOFF_MS = 80
+/** Number of most recent groups whose prompts an engine is assumed to have cached. */
+const MAX_REMEMBERED_PROMPTS = 64
 
-/** An order under way at an engine. */
-export interface OrderUnderway extends ModelVersion {
-  readonly sinceMs: number
+/** A load order that is in progress at an engine. */
+export interface ActiveLoadOrder extends ModelVersion {
+  readonly startedAtMs: number
 }
 
-/** One life of an engine: after a restart under its id there is another object, which knows nothing of this one. */
+/** One incarnation of an engine. A restart under the same id creates a new object that shares no state with this one. */
 export class Engine {
   running = 0
-  order: OrderUnderway | undefined
+  order: ActiveLoadOrder | undefined
   readonly pace = new EnginePace()
   private refusedUntil = Number.NEGATIVE_INFINITY
   private readonly versions = new Map<string, number>()
-  private readonly prompts = new Set<string>()
+  private readonly recentPromptGroups = new Set<string>()
 
   constructor (readonly target: KnownTarget, private readonly clock: Clock) {}
 
@@ -38,59 +38,59 @@
     return this.target.suspect || this.clock.monotonic() < this.refusedUntil
   }
 
-  /** Newest version of a model that the engine has told of: its entry lags behind its answers. */
+  /** Newest version of a model that the engine has reported. The engine's registered entry lags behind its responses. */
   version (model: string): number {
     const entry = this.target.definition.models.find((known) => known.model === model)?.version ?? 0
     return Math.max(entry, this.versions.get(model) ?? 0)
   }
 
-  learnVersion ({ model, version }: ModelVersion): void {
+  recordVersion ({ model, version }: ModelVersion): void {
     if (version > (this.versions.get(model) ?? 0)) this.versions.set(model, version)
   }
 
-  refused (): void {
-    this.refusedUntil = this.clock.monotonic() + REFUSED_MS
+  recordRefusal (): void {
+    this.refusedUntil = this.clock.monotonic() + REFUSAL_BACKOFF_MS
   }
 
-  notePrompt (group: string): void {
-    this.prompts.add(group)
-    if (this.prompts.size > REMEMBERED_PROMPTS) this.prompts.delete(this.prompts.values().next().value ?? '')
+  recordPrompt (group: string): void {
+    this.recentPromptGroups.add(group)
+    if (this.recentPromptGroups.size > MAX_REMEMBERED_PROMPTS) this.recentPromptGroups.delete(this.recentPromptGroups.values().next().value ?? '')
   }
 
   hasPrompt (group: string): boolean {
-    return this.prompts.has(group)
+    return this.recentPromptGroups.has(group)
   }
 }
 
-/** An engine with what the choice for an item looks at. */
+/** An engine together with the load figures that the engine choice compares. */
 export interface EngineCandidate extends EngineLoad {
   readonly engine: Engine
 }
 
-export class EngineBoard {
+export class EngineRegistry {
   private readonly engines = new Map<string, Engine>()
 
   constructor (private readonly targets: TargetTable, private readonly clock: Clock, private readonly routes: () => RouteTable | undefined) {}
 
-  /** Engines of all services, leaving ones not among them. */
+  /** Returns the engines of all services, except those that are leaving. */
   all (): Engine[] {
-    return (this.routes()?.engineServices() ?? []).flatMap(({ name }) => this.ofService(name))
+    return (this.routes()?.engineServices() ?? []).flatMap(({ name }) => this.forService(name))
   }
 
-  ofService (service: string): Engine[] {
-    const present = this.targets.available(service)
-    this.forgetGone()
-    return present.map((target) => this.engine(target))
+  forService (service: string): Engine[] {
+    const availableTargets = this.targets.available(service)
+    this.removeStale()
+    return availableTargets.map((target) => this.engineFor(target))
   }
 
-  /** What an engine's own report says about its life; after `newer` the engine is another one here too. */
-  tell (engine: Engine, incarnation: Incarnation | undefined, models: readonly ModelVersion[]): IncarnationOrder {
+  /** Compares the incarnation in an engine's report with the known one. After `newer`, the registry creates a new engine object. */
+  applyReport (engine: Engine, incarnation: Incarnation | undefined, models: readonly ModelVersion[]): IncarnationOrder {
     return this.targets.tell(engine.target, incarnation, models)
   }
 
-  /** What the choice of an engine for an item of this model and group needs. */
+  /** Returns the engines of these services with the figures needed to choose one for an item of this model and group. */
   candidates (services: readonly string[], model: string, group: string | undefined): EngineCandidate[] {
-    const engines = services.flatMap((service) => this.ofService(service))
+    const engines = services.flatMap((service) => this.forService(service))
     const slowness = relativeSlowness(engines.map(({ pace }) => pace), this.clock.monotonic())
     return engines.map((engine, index) => ({
       engine,
@@ -105,7 +105,7 @@
     }))
   }
 
-  private engine (target: KnownTarget): Engine {
+  private engineFor (target: KnownTarget): Engine {
     const known = this.engines.get(target.definition.id)
     if (known !== undefined && known.target === target) return known
     const engine = new Engine(target, this.clock)
@@ -113,7 +113,7 @@
     return engine
   }
 
-  private forgetGone (): void {
+  private removeStale (): void {
     for (const [id, { target }] of this.engines) if (this.targets.get(id) !== target) this.engines.delete(id)
   }
 }
--- a/src/actors/common/steps/headStarts.ts
+++ b/src/actors/common/steps/headStarts.ts
@@ -1,7 +1,8 @@
 /**
- * Gives items a head start that a step to come will want: runs them once more, beside the runs of the open
- * step and on a small part of the slots, and hands over what they came to when that step asks for them.
- * They are in the memory of this host only: after a takeover the items begin with their step, as without them.
+ * Gives head starts to items that a later step is expected to request: runs them speculatively, in parallel to
+ * the runs of the open step and on a small share of the slots, and passes the generated text on when that step
+ * requests them. Head starts exist in the memory of this host only. After a takeover, the items start with their
+ * step, as they would without a head start.
  */
 
 import { minimumVersionAfterStep, maxHeadStarts, planHeadStarts } from '../../../core/common/steps/headStart.ts'
@@ -12,13 +13,13 @@
 import type { FoldedStep } from '../../../core/common/steps/stepFold.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import type { Mechanisms } from '../../../core/common/mechanisms.ts'
-import { askedKey } from './heldTexts.ts'
+import { itemRequestKey } from './unfinishedTexts.ts'
 import type { ItemPlacement } from './itemPlacement.ts'
 import type { ItemGate } from './itemGate.ts'
-import type { ItemRunServices, RunEnd } from './itemRun.ts'
+import type { ItemRunServices, RunOutcome } from './itemRun.ts'
 import { runItem } from './itemRun.ts'
 import type { ItemText } from './itemText.ts'
-import type { Engine } from './engineBoard.ts'
+import type { Engine } from './engineRegistry.ts'
 import type { StepWork } from './stepWork.ts'
 import type { StepTopic } from '../store/stepTopic.ts'
 
@@ -26,8 +27,8 @@
   readonly placement: ItemPlacement
   readonly metrics: Metrics
   readonly stateLog: StateLog
-  readonly gate: Pick<ItemGate, 'isFree'>
-  readonly newText: () => ItemText
+  readonly gate: Pick<ItemGate, 'isUnrestricted'>
+  readonly createText: () => ItemText
   readonly lengths: ItemLengthEstimator
   readonly topic: Pick<StepTopic, 'steps'>
   readonly routeOf: (step: FoldedStep) => Route | undefined
@@ -35,8 +36,8 @@
 }
 
 export interface HeadStartSettings {
-  readonly firstEventMs: number
-  readonly silenceMs: number
+  readonly firstEventTimeoutMs: number
+  readonly silenceTimeoutMs: number
 }
 
 interface HeadStart {
@@ -44,77 +45,77 @@
   readonly model: string
   readonly item: StepItem
   readonly text: ItemText
-  /** Present while it runs. */
+  /** Present while a run is active. */
   cancel: AbortController | undefined
-  /** Whether its text is whole. */
+  /** Whether the text is complete. */
   complete: boolean
-  /** Whether it is not begun again, since an engine said that it fails. */
+  /** Set when an engine reported a failure of the item; the head start is not retried. */
   failed: boolean
-  /** Monotonic time from which on its step is not open any more. */
-  leftAt: number | undefined
+  /** Monotonic time at which the step was first seen to be closed. */
+  stepClosedAt: number | undefined
 }
 
-interface PlannedStart {
+interface PlannedHeadStart {
   readonly work: StepWork
   readonly route: Route
   readonly asked: string
   readonly item: StepItem
-  /** Oldest version that the step may use which will have the item. */
+  /** Oldest version that the later step is expected to accept for the item. */
   readonly minimumVersion: number
 }
 
-/** How long a head start outlasts its step, in milliseconds: the next step comes after the training, or at the trainer's own time. */
-const KEPT_MS = 5000
+/** A head start outlives its step because the next step arrives only after training, or whenever the trainer submits it. */
+const HEAD_START_RETENTION_MS = 5000
 
 export class HeadStarts {
   private readonly starts = new Map<string, HeadStart>()
-  /** Steps of a model that came while its last one that has ended was open. */
-  private readonly overlaps = new Map<string, number>()
-  /** What is asked for items of steps whose payloads are read. */
-  private readonly askedKeys = new WeakMap<StepWork, Map<string, string | undefined>>()
-  /** What is to begin once there is a slot, those that need the longest first. */
-  private planned: PlannedStart[] = []
+  /** By model: number of steps that were submitted while the most recently ended step was open. */
+  private readonly overlappingSteps = new Map<string, number>()
+  /** Request keys by item, for steps whose payloads have been read. */
+  private readonly requestKeys = new WeakMap<StepWork, Map<string, string | undefined>>()
+  /** Head starts that wait for a free slot, longest first. */
+  private planned: PlannedHeadStart[] = []
 
   constructor (private readonly services: HeadStartServices, private readonly settings: HeadStartSettings) {}
 
-  /** Plans what is worth a head start and ends what is not any more. */
-  look (works: readonly StepWork[]): void {
-    this.dropUseless(works)
-    this.planned = this.services.mechanisms.head_starts && this.services.lengths.known ? works.flatMap((work) => this.planOf(work)) : []
+  /** Selects the items that are worth a head start and cancels the head starts that no longer are. */
+  replan (works: readonly StepWork[]): void {
+    this.cancelObsolete(works)
+    this.planned = this.services.mechanisms.head_starts && this.services.lengths.known ? works.flatMap((work) => this.planFor(work)) : []
   }
 
-  /** Learns how many steps come while one of the model is open. */
-  stepEnded (step: FoldedStep): void {
-    this.overlaps.set(step.submission.model, this.newerOpen(step))
+  /** Records how many steps of the model were submitted while this one was open. */
+  recordStepEnd (step: FoldedStep): void {
+    this.overlappingSteps.set(step.submission.model, this.countNewerOpenSteps(step))
   }
 
-  /** Begins what is planned, as far as there are slots; `waiting`: items of open steps wait for them too. */
-  begin (waiting: boolean): void {
+  /** Starts planned head starts as far as slots allow; `hasWaitingItems` tells that items of open steps compete for the slots. */
+  startPlanned (hasWaitingItems: boolean): void {
     const full = new Set<StepWork>()
-    this.planned = this.planned.filter(({ work, route, asked, item, minimumVersion }) => {
+    this.planned = this.planned.filter(({ work, route, asked: requestKey, item, minimumVersion }) => {
       const payload = work.payloads?.get(item.id)
-      if (full.has(work) || payload === undefined || !this.services.gate.isFree(work.step.submission.host, payload)) return true
+      if (full.has(work) || payload === undefined || !this.services.gate.isUnrestricted(work.step.submission.host, payload)) return true
       const { id, model } = work.step.submission
-      const { candidate, slots } = this.services.placement.chooseAhead(work, route, item.group, minimumVersion)
-      if (candidate === undefined || this.runningOf(model) >= maxHeadStarts(slots, waiting)) {
+      const { candidate, slots } = this.services.placement.chooseForHeadStart(work, route, item.group, minimumVersion)
+      if (candidate === undefined || this.runningCount(model) >= maxHeadStarts(slots, hasWaitingItems)) {
         full.add(work)
         return true
       }
-      const start = this.starts.get(asked) ?? { step: id, model, item, text: this.services.newText(), cancel: undefined, complete: false, failed: false, leftAt: undefined }
-      this.starts.set(asked, start)
+      const start = this.starts.get(requestKey) ?? { step: id, model, item, text: this.services.createText(), cancel: undefined, complete: false, failed: false, stepClosedAt: undefined }
+      this.starts.set(requestKey, start)
       this.run(start, work, candidate.engine, minimumVersion)
       return false
     })
   }
 
-  /** Ends the head start of an item that a step asks for, and gives what it came to. */
-  take (work: StepWork, item: string): SavedText | undefined {
-    const asked = askedKey(work, item)
-    const start = asked === undefined ? undefined : this.starts.get(asked)
-    if (asked === undefined || start === undefined || start.step === work.step.submission.id) return undefined
-    this.drop(asked, start)
+  /** Ends the head start of an item that a step requests and returns the text generated so far. */
+  consume (work: StepWork, item: string): SavedText | undefined {
+    const requestKey = itemRequestKey(work, item)
+    const start = requestKey === undefined ? undefined : this.starts.get(requestKey)
+    if (requestKey === undefined || start === undefined || start.step === work.step.submission.id) return undefined
+    this.cancel(requestKey, start)
     const { text, complete } = start
-    // Whether a text is whole only the end of a stream tells, so the last event is made again.
+    // Only the end of a stream shows that a text is complete, so the last event is left for the later run to generate.
     const events = complete ? text.events.slice(0, -1) : [...text.events]
     if (text.last === undefined || events.length === 0) return undefined
     this.services.metrics.count('steps.head_starts_used')
@@ -122,39 +123,39 @@
     return { events, last: text.last - (text.events.length - events.length), versions: [...text.versions] }
   }
 
-  dropAll (): void {
+  cancelAll (): void {
     this.planned = []
-    for (const [asked, start] of this.starts) this.drop(asked, start)
+    for (const [requestKey, start] of this.starts) this.cancel(requestKey, start)
   }
 
-  private runningOf (model: string): number {
+  private runningCount (model: string): number {
     return [...this.starts.values()].filter((start) => start.model === model && start.cancel !== undefined).length
   }
 
-  private planOf (work: StepWork): PlannedStart[] {
+  private planFor (work: StepWork): PlannedHeadStart[] {
     const route = this.services.routeOf(work.step)
     if (route === undefined || route.singleVersion || work.payloads === undefined) return []
     const { minimumVersion, model } = work.step.submission
-    const nextMinimum = minimumVersionAfterStep(minimumVersion, this.newerOpen(work.step), this.overlaps.get(model) ?? 0)
-    return planHeadStarts(progressOf(work, this.services.lengths), this.services.lengths).flatMap((id): PlannedStart[] => {
-      const asked = this.askedKeyOf(work, id)
+    const nextMinimum = minimumVersionAfterStep(minimumVersion, this.countNewerOpenSteps(work.step), this.overlappingSteps.get(model) ?? 0)
+    return planHeadStarts(stepProgressOf(work, this.services.lengths), this.services.lengths).flatMap((id): PlannedHeadStart[] => {
+      const requestKey = this.requestKeyOf(work, id)
       const item = work.step.items.get(id)
-      const known = asked === undefined ? undefined : this.starts.get(asked)
-      if (asked === undefined || item === undefined || known?.cancel !== undefined || known?.complete === true || known?.failed === true) return []
-      return [{ work, route, asked, item, minimumVersion: nextMinimum }]
+      const existing = requestKey === undefined ? undefined : this.starts.get(requestKey)
+      if (requestKey === undefined || item === undefined || existing?.cancel !== undefined || existing?.complete === true || existing?.failed === true) return []
+      return [{ work, route, asked: requestKey, item, minimumVersion: nextMinimum }]
     })
   }
 
-  /** Made once for each item: it holds the item's whole body, and the plan is made twenty times a second. */
-  private askedKeyOf (work: StepWork, item: string): string | undefined {
-    const keys = this.askedKeys.get(work) ?? new Map<string, string | undefined>()
-    this.askedKeys.set(work, keys)
-    if (!keys.has(item)) keys.set(item, askedKey(work, item))
+  /** Cached for each item: the key contains the item's whole body, and planning runs twenty times a second. */
+  private requestKeyOf (work: StepWork, item: string): string | undefined {
+    const keys = this.requestKeys.get(work) ?? new Map<string, string | undefined>()
+    this.requestKeys.set(work, keys)
+    if (!keys.has(item)) keys.set(item, itemRequestKey(work, item))
     return keys.get(item)
   }
 
-  /** Open steps of the same model that came after this one. */
-  private newerOpen ({ submission: { model }, submittedAt }: FoldedStep): number {
+  /** Counts the open steps of the same model that were submitted after this one. */
+  private countNewerOpenSteps ({ submission: { model }, submittedAt }: FoldedStep): number {
     return [...this.services.topic.steps()].filter((other) => !other.ended && other.submission.model === model && other.submittedAt > submittedAt).length
   }
 
@@ -167,16 +168,16 @@
     engine.running++
     this.services.metrics.count('steps.head_starts')
     this.services.stateLog.decided('head start begins', { item: start.item.id, step: start.step, engine: engine.id, minimumVersion, events: start.text.events.length })
-    runItem(this.services, engine, start.item, start.text, { host, workspace, model, minimumVersion, payload, ...this.settings, cancelled: cancel.signal, onBegin: () => undefined }).then((end) => {
+    runItem(this.services, engine, start.item, start.text, { host, workspace, model, minimumVersion, payload, ...this.settings, cancelled: cancel.signal, onFirstEvent: () => undefined }).then((end) => {
       engine.running--
       if (cancel.signal.aborted) return
       start.cancel = undefined
-      this.ended(start, engine, end)
+      this.handleRunEnd(start, engine, end)
     }).catch((error: unknown) => { this.services.stateLog.alarm('run of an item failed', { item: start.item.id, error: String(error) }) })
   }
 
-  /** What a run says of its engine counts as for the runs of the open step; the item itself is only tried again where an engine did not refuse it for good. */
-  private ended (start: HeadStart, engine: Engine, end: RunEnd): void {
+  /** Updates the engine's state as after a run of an open step. The item is retried unless an engine reported that it fails or can never be completed. */
+  private handleRunEnd (start: HeadStart, engine: Engine, end: RunOutcome): void {
     switch (end.type) {
       case 'complete':
         start.complete = true
@@ -186,7 +187,7 @@
         start.failed = true
         return
       case 'refused':
-        return engine.refused()
+        return engine.recordRefusal()
       case 'broken':
         engine.target.failed()
         return this.services.client.distrust(engine.target.definition.address)
@@ -196,28 +197,28 @@
     }
   }
 
-  /** A group that is whole does not come again, and neither does what no step asked for in time. */
-  private dropUseless (works: readonly StepWork[]): void {
+  /** Cancels head starts whose group is complete, as it is not requested again, and those that no step requested within the retention time. */
+  private cancelObsolete (works: readonly StepWork[]): void {
     const now = this.services.clock.monotonic()
-    for (const [asked, start] of this.starts) {
+    for (const [requestKey, start] of this.starts) {
       const open = works.find(({ step }) => step.submission.id === start.step)
-      if (open === undefined) start.leftAt ??= now
-      if (open !== undefined ? isWhole(open, start.item.group) : now - (start.leftAt ?? now) > KEPT_MS) this.drop(asked, start)
+      if (open === undefined) start.stepClosedAt ??= now
+      if (open !== undefined ? isGroupComplete(open, start.item.group) : now - (start.stepClosedAt ?? now) > HEAD_START_RETENTION_MS) this.cancel(requestKey, start)
     }
   }
 
-  private drop (asked: string, start: HeadStart): void {
+  private cancel (requestKey: string, start: HeadStart): void {
     start.cancel?.abort()
-    this.starts.delete(asked)
+    this.starts.delete(requestKey)
   }
 }
 
-function isWhole ({ step: { submission, positions } }: StepWork, group: string): boolean {
+function isGroupComplete ({ step: { submission, positions } }: StepWork, group: string): boolean {
   return submission.items.every((item) => item.group !== group || positions.has(item.id))
 }
 
-/** Of an item that was whole before this host took the step over, only what its trainer expects is known. */
-function progressOf ({ step: { submission, positions }, items, finished, carried }: StepWork, lengths: ItemLengthEstimator): Parameters<typeof planHeadStarts>[0] {
+/** For items completed before this host took over the step, only the length that the trainer expects is known. */
+function stepProgressOf ({ step: { submission, positions }, items, finished, carriedGroups: carried }: StepWork, lengths: ItemLengthEstimator): Parameters<typeof planHeadStarts>[0] {
   return {
     wantedGroups: submission.wantedGroups,
     carriedOver: carried,
--- a/src/actors/common/steps/itemRun.ts
+++ b/src/actors/common/steps/itemRun.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one item at one engine: opens the stream, takes its events in order, and says how it ended.
- * What has come is kept with the item, so that another run goes on after the last whole event.
+ * Runs one item on one engine: opens the stream, collects its events in order and reports how the run ended.
+ * The collected events stay with the item, so that another run can resume after the last complete event.
  */
 
 import { decodeBase64 } from '../../../base/common/base64.ts'
@@ -13,22 +13,22 @@
 import type { Disposable } from '../../../base/common/lifecycle.ts'
 import type { RequestContent } from '../../../ports/common/fingerprints.ts'
 import type { RunAtTarget, TargetEnds } from '../routes/targetEnds.ts'
-import type { Engine } from './engineBoard.ts'
+import type { Engine } from './engineRegistry.ts'
 import type { ItemText } from './itemText.ts'
 
-export type RunEnd =
+export type RunOutcome =
   | { readonly type: 'complete' }
-  /** The stream broke, went silent or was not usable; it may go on elsewhere. */
+  /** The stream broke, timed out or was invalid; the item can resume on another engine. */
   | { readonly type: 'broken', readonly why: string }
-  /** It was ended here, to go on at another engine. */
+  /** The run was stopped by this host in order to continue on another engine. */
   | { readonly type: 'moved' }
-  /** The engine has started again: nothing more comes of this run. */
+  /** The engine was restarted, so that this run produces no more events. */
   | { readonly type: 'restarted' }
-  /** The engine says that it did not run the item. */
+  /** The engine reported that it did not run the item. */
   | { readonly type: 'refused' }
-  /** The engine's own failure of the item. */
+  /** The engine reported a failure of its own. */
   | { readonly type: 'failed' }
-  /** The item can never be done. */
+  /** The engine reported that the item can never be completed. */
   | { readonly type: 'impossible' }
   /** The engine's weights are too old for the item. */
   | { readonly type: 'too-old' }
@@ -42,51 +42,50 @@
 
 export interface ItemRunOptions {
   readonly host: string
-  /** Workspace that the item belongs to; absent where trainers need no key. */
+  /** Workspace that the item belongs to; `undefined` if trainers need no key. */
   readonly workspace: WorkspaceName | undefined
   readonly model: string
   readonly minimumVersion: number
   readonly payload: ItemPayload
-  /** Longest wait for the head of the answer and for the first event, in milliseconds. */
-  readonly firstEventMs: number
-  /** Longest wait for another event, in milliseconds. */
-  readonly silenceMs: number
+  /** Time limit for the response head and the first event, in milliseconds. */
+  readonly firstEventTimeoutMs: number
+  /** Time limit between two events, in milliseconds. */
+  readonly silenceTimeoutMs: number
   readonly cancelled: AbortSignal
-  /** Called at the first event of the run. */
-  readonly onBegin: () => void
+  readonly onFirstEvent: () => void
 }
 
-/** The engine's own failure, and its word that the item can never be done. */
-const FAILED = 500
-const IMPOSSIBLE = 422
-const OK = 200
+/** HTTP status codes of engine responses. */
+const STATUS_ENGINE_FAILED = 500
+const STATUS_IMPOSSIBLE = 422
+const STATUS_OK = 200
 
-/** What belongs to one run. */
+/** State of one run. */
 interface RunContext {
   readonly services: ItemRunServices
   readonly engine: Engine
   readonly item: StepItem
   readonly text: ItemText
   readonly options: ItemRunOptions
-  readonly silence: SilenceGuard
+  readonly silence: SilenceTimeout
   readonly run: RunAtTarget
-  /** Most events that earlier runs of the item came to. */
-  readonly furthest: number
+  /** Highest event count that earlier runs of the item reached. */
+  readonly previousMaxEvents: number
 }
 
-/** Runs an item and adds what comes to its text. */
-export async function runItem (services: ItemRunServices, engine: Engine, item: StepItem, text: ItemText, options: ItemRunOptions): Promise<RunEnd> {
-  const silence = new SilenceGuard(services.clock, options)
+/** Runs an item and appends the received events to its text. */
+export async function runItem (services: ItemRunServices, engine: Engine, item: StepItem, text: ItemText, options: ItemRunOptions): Promise<RunOutcome> {
+  const silence = new SilenceTimeout(services.clock, options)
   const { target } = engine
   const restarted = new AbortController()
-  const run = services.ends.begin(target, contentOfItem(options.host, options.payload), item.id)
-  const restart = target.onRestart(() => { restarted.abort() })
+  const run = services.ends.begin(target, itemRequestContent(options.host, options.payload), item.id)
+  const restartListener = target.onRestart(() => { restarted.abort() })
   const signal = AbortSignal.any([options.cancelled, silence.signal, restarted.signal])
-  const ended = (why: string): RunEnd => target.isOver ? { type: 'restarted' } : { type: 'broken', why }
-  const brokeOff = async (why: string): Promise<RunEnd> => {
-    // The next run waits until it is known whether the engine has ended under this one.
+  const interruptedEnd = (why: string): RunOutcome => target.isOver ? { type: 'restarted' } : { type: 'broken', why }
+  const endBroken = async (why: string): Promise<RunOutcome> => {
+    // The next run waits until it is known whether the engine terminated during this one.
     if (!signal.aborted) await run.broke()
-    return ended(why)
+    return interruptedEnd(why)
   }
   try {
     const { address, id } = target.definition
@@ -101,47 +100,47 @@
     })
     if (!answer.ok && answer.code === 'targetUnreachable') {
       run.over()
-      return ended(answer.message)
+      return interruptedEnd(answer.message)
     }
-    if (!answer.ok) return await brokeOff(silence.signal.aborted ? 'no answer in time' : answer.message)
-    const read = await readAnswer({ services, engine, item, text, options, silence, run, furthest: text.furthest }, answer.value)
+    if (!answer.ok) return await endBroken(silence.signal.aborted ? `no response within ${options.firstEventTimeoutMs} ms` : answer.message)
+    const outcome = await readResponse({ services, engine, item, text, options, silence, run, previousMaxEvents: text.maxEvents }, answer.value)
     run.over()
-    return read
+    return outcome
   } catch (error) {
-    return await brokeOff(silence.signal.aborted ? 'silent' : String(error))
+    return await endBroken(silence.signal.aborted ? 'silent' : String(error))
   } finally {
     if (signal.aborted) run.over()
     silence.dispose()
-    restart.dispose()
+    restartListener.dispose()
   }
 }
 
-/** What an item asks of an engine. */
-export function contentOfItem (host: string, { path, body }: ItemPayload): RequestContent {
+/** Content of the request that an engine receives for an item. */
+export function itemRequestContent (host: string, { path, body }: ItemPayload): RequestContent {
   return { host, method: 'POST', path, caller: undefined, body }
 }
 
-async function readAnswer (context: RunContext, stream: TargetStream): Promise<RunEnd> {
+async function readResponse (context: RunContext, stream: TargetStream): Promise<RunOutcome> {
   const { services, engine, item, text, options } = context
   const head = services.protocol.answerHead(stream.status, stream.headers)
-  const end = (ended: RunEnd): RunEnd => {
+  const endRun = (ended: RunOutcome): RunOutcome => {
     stream.cancel()
     return ended
   }
-  if (head.requestId !== undefined && head.requestId !== item.id) return end({ type: 'broken', why: 'the answer belongs to another request' })
-  if (head.notRun) return end({ type: 'refused' })
-  if (head.status === IMPOSSIBLE) return end({ type: 'impossible' })
-  if (head.status === FAILED) return end({ type: 'failed' })
-  if (head.status !== OK || head.seal === undefined) return end({ type: 'broken', why: `status ${head.status}` })
+  if (head.requestId !== undefined && head.requestId !== item.id) return endRun({ type: 'broken', why: `the response belongs to request ${head.requestId}` })
+  if (head.notRun) return endRun({ type: 'refused' })
+  if (head.status === STATUS_IMPOSSIBLE) return endRun({ type: 'impossible' })
+  if (head.status === STATUS_ENGINE_FAILED) return endRun({ type: 'failed' })
+  if (head.status !== STATUS_OK || head.seal === undefined) return endRun({ type: 'broken', why: `status ${head.status}` })
   if (head.version !== undefined) {
-    engine.learnVersion({ model: options.model, version: head.version })
-    if (head.version < options.minimumVersion) return end({ type: 'too-old' })
+    engine.recordVersion({ model: options.model, version: head.version })
+    if (head.version < options.minimumVersion) return endRun({ type: 'too-old' })
   }
   text.beginRun(head.version)
   return await readEvents(context, stream)
 }
 
-async function readEvents ({ services, engine, item, text, options, silence, run, furthest }: RunContext, stream: TargetStream): Promise<RunEnd> {
+async function readEvents ({ services, engine, item, text, options, silence, run, previousMaxEvents }: RunContext, stream: TargetStream): Promise<RunOutcome> {
   const reader = new ServerSentEventReader()
   let firstAt: number | undefined
   let lastAt: number | undefined
@@ -151,44 +150,44 @@
       const event = services.protocol.event(fields)
       if (event === undefined || !text.add(event)) {
         stream.cancel()
-        return { type: 'broken', why: 'an event is missing, doubled or not readable' }
+        return { type: 'broken', why: 'an event is missing, duplicated or malformed' }
       }
-      if (event.version !== undefined) engine.learnVersion({ model: options.model, version: event.version })
-      // What came further than ever before does not end each engine at the same place: a later end of this one is not the item's.
-      if (text.furthest > furthest) run.over()
+      if (event.version !== undefined) engine.recordVersion({ model: options.model, version: event.version })
+      // An item that crashes engines does so at the same event each time. A run that gets further than all before is not to blame if the engine terminates later.
+      if (text.maxEvents > previousMaxEvents) run.over()
       const now = services.clock.monotonic()
       if (lastAt === undefined) {
-        engine.notePrompt(item.group)
-        options.onBegin()
+        engine.recordPrompt(item.group)
+        options.onFirstEvent()
       } else {
         engine.pace.recordEventInterval(now - lastAt, now)
       }
       firstAt ??= now
       lastAt = now
       count++
-      silence.heard()
+      silence.restart()
     }
   }
   if (firstAt !== undefined && lastAt !== undefined) engine.pace.recordRun(lastAt - firstAt, count)
-  return new TextDecoder().decode(reader.rest).trim() !== '' ? { type: 'broken', why: 'the stream ended within an event' } : { type: 'complete' }
+  return new TextDecoder().decode(reader.rest).trim() !== '' ? { type: 'broken', why: 'the stream ended in the middle of an event' } : { type: 'complete' }
 }
 
-/** Aborts a run whose engine says nothing for too long: its connection may be silent for good, or the engine. */
-class SilenceGuard implements Disposable {
-  private readonly abort = new AbortController()
+/** Aborts a run that receives no event for too long because its connection or its engine hangs. */
+class SilenceTimeout implements Disposable {
+  private readonly controller = new AbortController()
   private timer: Disposable
 
   constructor (private readonly clock: Clock, private readonly options: ItemRunOptions) {
-    this.timer = clock.after(options.firstEventMs, () => { this.abort.abort() })
+    this.timer = clock.after(options.firstEventTimeoutMs, () => { this.controller.abort() })
   }
 
   get signal (): AbortSignal {
-    return this.abort.signal
+    return this.controller.signal
   }
 
-  heard (): void {
+  restart (): void {
     this.timer.dispose()
-    this.timer = this.clock.after(this.options.silenceMs, () => { this.abort.abort() })
+    this.timer = this.clock.after(this.options.silenceTimeoutMs, () => { this.controller.abort() })
   }
 
   dispose (): void {
--- a/src/actors/common/steps/itemText.ts
+++ b/src/actors/common/steps/itemText.ts
@@ -1,87 +1,87 @@
-/** The text of one item while it grows: its events in order, the versions that made them, and what of it is saved. */
+/** The text of one item while it is generated: its events in order, the model versions that produced them, and how much of it is saved. */
 
 import type { TextId } from '../../../base/common/ids.ts'
 import type { ProgressPart, SavedText } from '../../../core/common/steps/progress.ts'
 import { FULL_SAVE_AGE_MS } from '../../../core/common/steps/progress.ts'
 import type { StreamEvent } from '../../../ports/common/protocols.ts'
 
-/** Events of a text that are to be saved. */
+/** Events of a text that have yet to be saved. */
 export type UnsavedPart = Omit<ProgressPart, 'step' | 'item'>
 
 /**
- * What is held of an item's text. It is a new text whenever it begins empty or goes on from what
- * another host saved: two hosts that go on from the same events get different ones after them.
+ * The text of an item in memory. It gets a new id whenever it starts empty or resumes from events that another
+ * host saved, because two hosts that resume from the same events receive different events after them.
  */
 export class ItemText {
   private id: TextId
   readonly events: string[] = []
   readonly versions = new Set<number>()
-  /** Events of this text that the store has. */
-  private saved = 0
-  /** When the store was last given this text from its first event on. */
-  private wholeAt = Number.NEGATIVE_INFINITY
-  /** Number of the newest event held. */
+  /** Number of events of this text that are in the store. */
+  private savedCount = 0
+  /** Monotonic time of the last save that contained this text from its first event on. */
+  private fullySavedAt = Number.NEGATIVE_INFINITY
+  /** Id of the newest event. */
   last: number | undefined
-  /** Version under which the next event is made, unless it says otherwise. */
+  /** Model version of the next event, unless the event names another one. */
   private version: number | undefined
-  private most = 0
+  private maxEventCount = 0
 
-  /** `newId` makes an id that no text had before. */
-  constructor (private readonly newId: () => TextId) {
-    this.id = newId()
+  /** @param createId returns an id that no other text has */
+  constructor (private readonly createId: () => TextId) {
+    this.id = createId()
   }
 
-  /** Most events that any run of the item has come to, also where its text began anew since. */
-  get furthest (): number {
-    return this.most
+  /** Highest event count that any run of the item has reached, including runs before the text was cleared. */
+  get maxEvents (): number {
+    return this.maxEventCount
   }
 
   beginRun (version: number | undefined): void {
     this.version = version
   }
 
-  /** Adds an event; false if it does not follow the last one. */
+  /** Appends an event; returns false if it does not directly follow the last one. */
   add (event: StreamEvent): boolean {
-    const due = (this.last ?? event.id - 1) + 1
-    if (event.id !== due) return false
+    const expectedId = (this.last ?? event.id - 1) + 1
+    if (event.id !== expectedId) return false
     if (event.version !== undefined) this.version = event.version
     if (this.version !== undefined) this.versions.add(this.version)
     this.events.push(event.data)
     this.last = event.id
-    this.most = Math.max(this.most, this.events.length)
+    this.maxEventCount = Math.max(this.maxEventCount, this.events.length)
     return true
   }
 
-  /** Takes over what another run has left. */
+  /** Replaces the text with the events of an earlier run. */
   restore ({ events, last, versions }: SavedText): void {
     this.clear()
     this.events.push(...events)
     this.last = last
-    this.most = Math.max(this.most, events.length)
+    this.maxEventCount = Math.max(this.maxEventCount, events.length)
     for (const version of versions) this.versions.add(version)
   }
 
-  /** Events that are not saved yet, or all if the first were saved too long ago; `undefined` if there are none. */
-  unsaved (now: number): UnsavedPart | undefined {
-    const from = now - this.wholeAt < FULL_SAVE_AGE_MS ? this.saved : 0
+  /** Returns the events that are not saved yet, or all events if the last full save is too old; `undefined` if there are none. */
+  unsavedPart (now: number): UnsavedPart | undefined {
+    const from = now - this.fullySavedAt < FULL_SAVE_AGE_MS ? this.savedCount : 0
     if (this.last === undefined || this.events.length <= from) return undefined
     return { text: this.id, from, events: this.events.slice(from), last: this.last, versions: [...this.versions] }
   }
 
   /**
-   * The store has a part that was to be saved since then. The text may have begun anew meanwhile: the part
-   * then says nothing of it, and counting its events here would leave out the first of the new text.
+   * Marks a part that was taken at `takenAt` as saved. If the text was cleared in the meantime, the part belongs to an
+   * earlier text: counting its events would leave the first events of the new text unsaved.
    */
-  noteSaved (part: UnsavedPart, since: number): void {
+  markSaved (part: UnsavedPart, takenAt: number): void {
     if (part.text !== this.id) return
-    this.saved = Math.max(this.saved, part.from + part.events.length)
-    if (part.from === 0) this.wholeAt = since
+    this.savedCount = Math.max(this.savedCount, part.from + part.events.length)
+    if (part.from === 0) this.fullySavedAt = takenAt
   }
 
   clear (): void {
-    this.id = this.newId()
-    this.saved = 0
-    this.wholeAt = Number.NEGATIVE_INFINITY
+    this.id = this.createId()
+    this.savedCount = 0
+    this.fullySavedAt = Number.NEGATIVE_INFINITY
     this.events.length = 0
     this.versions.clear()
     this.last = undefined
--- a/src/actors/common/steps/progressKeeper.ts
+++ b/src/actors/common/steps/progressStore.ts
@@ -1,4 +1,4 @@
-/** Saves the progress of running items now and then, and finds it again when a host takes over. */
+/** Saves the progress of running items periodically and loads it when a host takes over. */
 
 import type { ProgressPart, SavedText } from '../../../core/common/steps/progress.ts'
 import { PROGRESS_RETENTION_MS, progressRecords, parseProgress } from '../../../core/common/steps/progress.ts'
@@ -6,63 +6,62 @@
 import type { History } from '../../../ports/common/history.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 
-export interface ProgressServices {
+export interface ProgressStoreServices {
   readonly history: History
   readonly clock: Clock
   readonly metrics: Metrics
   readonly stateLog: StateLog
 }
 
-export interface ProgressSettings {
-  /** Time between two saves, in milliseconds: what a lost host costs each running item at most. */
-  readonly periodMs: number
-  /** Bytes of one record, at most. */
-  readonly recordBytes: number
-  /** Whether progress is saved and read at all. */
-  readonly inUse: boolean
+export interface ProgressStoreSettings {
+  /** Time between two saves, in milliseconds. Each running item loses at most this much progress if the host is lost. */
+  readonly saveIntervalMs: number
+  readonly maxRecordBytes: number
+  /** Whether progress is saved and loaded at all. */
+  readonly enabled: boolean
 }
 
 /**
- * Time between two trims, in milliseconds. A host that takes over reads all that is kept before the steps
- * go on: after half a minute without trimming that took 0.57 s.
+ * A host that takes over reads all retained progress before it resumes the steps. After half a minute without
+ * trimming, that took 0.57 s.
  */
-const TRIM_MS = 5000
+const TRIM_INTERVAL_MS = 5000
 
-export class ProgressKeeper {
+export class ProgressStore {
   private saving = false
-  private trimmedAt = Number.NEGATIVE_INFINITY
-  /** Offsets of own saves that are kept, with their times. */
+  private lastTrimAt = Number.NEGATIVE_INFINITY
+  /** Offsets and monotonic times of this host's saves that have not been trimmed. */
   private readonly saves: { readonly at: number, readonly offset: number }[] = []
-  private savedAt = Number.NEGATIVE_INFINITY
+  private lastSaveAt = Number.NEGATIVE_INFINITY
 
-  constructor (private readonly services: ProgressServices, private readonly settings: ProgressSettings) {}
+  constructor (private readonly services: ProgressStoreServices, private readonly settings: ProgressStoreSettings) {}
 
-  /** Whether it is time to save again. */
-  get due (): boolean {
-    return !this.saving && this.services.clock.monotonic() - this.savedAt >= this.settings.periodMs
+  /** Whether the save interval has elapsed and no save is in progress. */
+  get isDue (): boolean {
+    return !this.saving && this.services.clock.monotonic() - this.lastSaveAt >= this.settings.saveIntervalMs
   }
 
-  /** Saves parts; true if the store has them. A save that fails costs nothing but the time that it would have spared. */
+  /** Saves parts and returns whether the store has them. After a failed save, a takeover only repeats more of the runs. */
   async save (parts: readonly ProgressPart[]): Promise<boolean> {
-    if (!this.settings.inUse) return false
+    if (!this.settings.enabled) return false
     this.saving = true
-    this.savedAt = this.services.clock.monotonic()
-    const saved = await this.append(progressRecords(parts, this.settings.recordBytes))
+    this.lastSaveAt = this.services.clock.monotonic()
+    const saved = await this.append(progressRecords(parts, this.settings.maxRecordBytes))
     this.saving = false
     this.services.metrics.count(saved ? 'progress.saved' : 'progress.not_saved')
     return saved
   }
 
-  /** Everything that is still kept; empty where it cannot be read, and the items begin anew. */
+  /** Returns all retained progress. It is empty if the store cannot be read, and the items then start from the beginning. */
   async load (): Promise<ReadonlyMap<string, SavedText>> {
-    if (!this.settings.inUse) return new Map()
+    if (!this.settings.enabled) return new Map()
     const records = await this.services.history.readAll()
     if (records.ok) return parseProgress(records.value)
     this.services.stateLog.alarm('progress of running items cannot be read', { error: records.message })
     return new Map()
   }
 
-  /** Appends records one after the other; stops at the first that is not taken. */
+  /** Appends records in sequence and stops at the first failure. */
   private async append (records: readonly string[]): Promise<boolean> {
     for (const record of records) {
       const appended = await this.services.history.append(record)
@@ -74,14 +73,14 @@
   }
 
   /**
-   * Removes what is too old to be needed; a trim that fails is made up for by the next one. Only what stands
-   * before an own save that is too old is surely as old: before the first save that is kept may stand what
-   * a successor saved while this host stood still, and its items would begin anew after the next takeover.
+   * Trims progress that is too old to be needed; the next trim makes up for a failed one. Only records before an expired
+   * save of this host are certainly expired. Trimming up to the first retained save could remove records that a successor
+   * saved while this host was suspended, and its items would start from the beginning after the next takeover.
    */
   private async trim (): Promise<void> {
     const now = this.services.clock.monotonic()
-    if (now - this.trimmedAt < TRIM_MS) return
-    this.trimmedAt = now
+    if (now - this.lastTrimAt < TRIM_INTERVAL_MS) return
+    this.lastTrimAt = now
     const outdated = this.saves.findLastIndex(({ at }) => now - at >= PROGRESS_RETENTION_MS)
     const newest = this.saves[outdated]
     if (newest === undefined) return
--- a/src/actors/common/steps/resultNotes.ts
+++ b/src/actors/common/steps/resultLogging.ts
@@ -1,6 +1,6 @@
 /**
- * Lines and measures about results as the holder of the duty reads them back: where each stands, in whose term it was
- * read, where the time of its item went, and when a step has what its trainer waits for.
+ * Logs and measures results as the holder of the duty reads them back from the topic: the position of each, the term in which
+ * it was read, the time that its item spent in each phase, and when a step has the results that its trainer waits for.
  */
 
 import type { Disposable } from '../../../base/common/lifecycle.ts'
@@ -10,43 +10,43 @@
 import { carriedOverGroups, hasWantedGroups } from '../../../core/common/steps/wantedGroups.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
-import type { DutyKeeper } from '../duties/dutyKeeper.ts'
+import type { DutyLeaseManager } from '../duties/dutyLeaseManager.ts'
 import type { StepTopic } from '../store/stepTopic.ts'
 
-export interface ResultNotesServices {
+export interface ResultLoggingServices {
   readonly topic: Pick<StepTopic, 'onChange' | 'steps'>
-  readonly duty: Pick<DutyKeeper, 'holds' | 'term'>
+  readonly duty: Pick<DutyLeaseManager, 'holds' | 'term'>
   readonly clock: Clock
   readonly metrics: Metrics
   readonly stateLog: StateLog
   readonly routes: () => RouteTable | undefined
-  /** Where the time of an item went; `undefined` where this host did not run it. */
+  /** Time that an item spent in each phase; `undefined` if this host did not run it. */
   readonly phasesOf: (step: string, item: string) => PhaseTimes | undefined
 }
 
-/** Writes a line for each result, while this host holds the duty, until the outcome is disposed. */
-export function noteResults (services: ResultNotesServices): Disposable {
+/** Logs each result while this host holds the duty, until the returned object is disposed. */
+export function logResults (services: ResultLoggingServices): Disposable {
   return services.topic.onChange((change) => {
-    if (change.type === 'listed' && services.duty.holds) noteResult(services, change)
+    if (change.type === 'listed' && services.duty.holds) logResult(services, change)
   })
 }
 
-function noteResult (services: ResultNotesServices, change: Extract<StepChange, { type: 'listed' }>): void {
+function logResult (services: ResultLoggingServices, change: Extract<StepChange, { type: 'listed' }>): void {
   const { duty, metrics, stateLog } = services
   const { step, result: { item }, position, offset } = change
   const phases = services.phasesOf(step.submission.id, item)
   stateLog.decided('result listed', { step: step.submission.id, item, position, offset, term: duty.term, ...phases })
   for (const [phase, spent] of Object.entries(phases ?? {})) metrics.timing(`steps.${phase as ItemPhase}`, spent)
-  noteWanted(services, change, phases)
+  logWantedGroups(services, change, phases)
 }
 
-/** Tells when the last group that the trainer waits for is whole: everything after that costs the trainer nothing. */
-function noteWanted ({ topic, routes, clock, metrics, stateLog }: ResultNotesServices, { step, result, position }: Extract<StepChange, { type: 'listed' }>, phases: PhaseTimes | undefined): void {
+/** Logs when the last group that the trainer waits for is complete. Later results do not delay the trainer. */
+function logWantedGroups ({ topic, routes, clock, metrics, stateLog }: ResultLoggingServices, { step, result, position }: Extract<StepChange, { type: 'listed' }>, phases: PhaseTimes | undefined): void {
   const { id, number, model, host, path } = step.submission
-  // At most results too few groups are whole, whichever were carried; those are looked up among all steps.
+  // For most results, too few groups are complete whichever were carried over. This check avoids the search for carried groups among all steps.
   if (!hasWantedGroups(step, position + 1, new Set())) return
   const carried = carriedOverGroups(step, topic.steps())
-  // The step may have more results by now than this one: they are read many at a time.
+  // The step may already contain later results, as results are read in batches.
   if (hasWantedGroups(step, position, carried) || !hasWantedGroups(step, position + 1, carried)) return
   const tookMs = clock.wall() - step.submittedAt
   metrics.timing('steps.wanted', tookMs)
--- a/src/actors/common/steps/resultLister.ts
+++ b/src/actors/common/steps/resultWriter.ts
@@ -1,4 +1,4 @@
-/** Writes results: the text of each first, so that whoever reads of a result finds its text, and then where it stands. */
+/** Writes results. The text is written before the result record that refers to it, so that every reader of the record finds the text. */
 
 import type { Result } from '../../../base/common/resultCode.ts'
 import { success } from '../../../base/common/resultCode.ts'
@@ -10,37 +10,37 @@
 import type { StepContents } from './stepContents.ts'
 import type { ItemWork, StepWork } from './stepWork.ts'
 
-export interface ResultListerServices {
+export interface ResultWriterServices {
   readonly appender: GroupAppender
   readonly contents: StepContents
   readonly clock: Clock
   readonly stateLog: StateLog
 }
 
-/** How long a result is offered to the topic before it is made anew, in milliseconds: longer than outages of the store. */
-const LIST_MS = 60_000
+/** Longer than an outage of the store. After this time, the result is written again from the start. */
+const WRITE_TIMEOUT_MS = 60_000
 
-export class ResultLister {
-  constructor (private readonly services: ResultListerServices) {}
+export class ResultWriter {
+  constructor (private readonly services: ResultWriterServices) {}
 
-  /** Writes the result of an item until the store has it, unless the item is cancelled before. */
-  list (work: StepWork, itemWork: ItemWork, result: SampleResult): void {
+  /** Writes the result of an item, with retries until the store has it or the item is cancelled. */
+  write (work: StepWork, itemWork: ItemWork, result: SampleResult): void {
     const { clock, stateLog } = this.services
     const step = work.step.submission.id
     itemWork.state = 'listing'
     itemWork.phases.enter('writing', clock.monotonic())
-    this.write(step, result, itemWork).then((written) => {
+    this.appendResult(step, result, itemWork).then((written) => {
       if (written.ok || itemWork.cancel.signal.aborted) return
       stateLog.alarm('result not taken by the store', { step, item: result.item, error: written.message })
-      this.list(work, itemWork, result)
+      this.write(work, itemWork, result)
     }).catch((error: unknown) => { stateLog.alarm('listing failed', { step, item: result.item, error: String(error) }) })
   }
 
-  private async write (step: string, { text, ...result }: SampleResult, { cancel, phases }: ItemWork): Promise<Result<unknown>> {
+  private async appendResult (step: string, { text, ...result }: SampleResult, { cancel, phases }: ItemWork): Promise<Result<unknown>> {
     const { contents, appender, clock } = this.services
-    const saved = result.state === 'complete' ? await contents.saveText(step, result.item, text, LIST_MS) : undefined
+    const saved = result.state === 'complete' ? await contents.saveText(step, result.item, text, WRITE_TIMEOUT_MS) : undefined
     if (saved?.ok === false || cancel.signal.aborted) return saved ?? success(undefined)
     phases.enter('listing', clock.monotonic())
-    return await appender.append((nonce) => [resultRecord(step, { ...result, textKey: saved?.value.key, textAt: saved?.value.at, textFrom: saved?.value.from }, nonce)], LIST_MS)
+    return await appender.append((nonce) => [resultRecord(step, { ...result, textKey: saved?.value.key, textAt: saved?.value.at, textFrom: saved?.value.from }, nonce)], WRITE_TIMEOUT_MS)
   }
 }
--- a/src/actors/common/steps/sampleScorer.ts
+++ b/src/actors/common/steps/sampleScorer.ts
@@ -1,7 +1,7 @@
 /**
- * Has finished samples scored by calls through the routes. Load pattern: all samples of a step end
- * within a second and want many times the slots of a service that also serves callers who wait. So
- * the calls queue here, first come first served on each route, and leave a slot of each target free.
+ * Scores finished samples by calls through the routes. Load pattern: all samples of a step finish within a second and
+ * need many times the slots of a service that also serves interactive callers. The calls therefore queue here, in FIFO
+ * order for each route, and leave one slot of each target free.
  */
 
 import { decodeBase64 } from '../../../base/common/base64.ts'
@@ -15,7 +15,7 @@
 
 export type ScoreOutcome =
   | { readonly type: 'scored', readonly score: string }
-  /** The scorer failed as often as the route allows. */
+  /** The scorer failed as many times as the route allows attempts. */
   | { readonly type: 'gave-up' }
 
 export interface SampleScorerServices {
@@ -26,33 +26,33 @@
   readonly routes: () => RouteTable | undefined
 }
 
-interface WaitingCall {
+interface QueuedCall {
   readonly call: ScorerCall
   readonly cancelled: AbortSignal
   failures: number
-  readonly settle: (outcome: ScoreOutcome) => void
+  readonly resolve: (outcome: ScoreOutcome) => void
 }
 
-/** Time between two looks for free slots, in milliseconds. */
-const LOOK_MS = 20
-/** Pause before a call that got no answer is repeated, in milliseconds. */
-const PAUSE_MS = 100
-/** Longest pause before a call that is held back asks again, in milliseconds. */
-const HELD_PAUSE_MS = 1000
-const FIRST_SUCCESS = 200
-const AFTER_SUCCESS = 300
+/** Interval at which the queue is checked for calls that have a free slot. */
+const QUEUE_CHECK_INTERVAL_MS = 20
+/** Delay before a call without a successful response is repeated. */
+const RETRY_DELAY_MS = 100
+/** Longest delay before a call that was held back is tried again. */
+const MAX_HELD_RETRY_DELAY_MS = 1000
+const MIN_SUCCESS_STATUS = 200
+const SUCCESS_STATUS_END = 300
 
 export class SampleScorer implements Disposable {
-  private readonly queue: WaitingCall[] = []
+  private readonly queue: QueuedCall[] = []
   private timer: Disposable | undefined
 
   constructor (private readonly services: SampleScorerServices) {}
 
-  /** Scores a sample; waits as long as it takes, unless cancelled. */
+  /** Scores a sample. Waits without a time limit unless cancelled. */
   async score (call: ScorerCall, cancelled: AbortSignal): Promise<ScoreOutcome> {
     return await new Promise((resolve) => {
-      this.queue.push({ call, cancelled, failures: 0, settle: resolve })
-      this.startCalls()
+      this.queue.push({ call, cancelled, failures: 0, resolve })
+      this.processQueue()
     })
   }
 
@@ -60,28 +60,28 @@
     this.timer?.dispose()
   }
 
-  private startCalls (): void {
-    this.startWhatFits()
+  private processQueue (): void {
+    this.startCallsWithFreeSlots()
     this.timer?.dispose()
-    this.timer = this.queue.length === 0 ? undefined : this.services.clock.after(LOOK_MS, () => { this.startCalls() })
+    this.timer = this.queue.length === 0 ? undefined : this.services.clock.after(QUEUE_CHECK_INTERVAL_MS, () => { this.processQueue() })
   }
 
-  private startWhatFits (): void {
+  private startCallsWithFreeSlots (): void {
     const full = new Set<Route>()
     for (const next of this.queue.splice(0)) {
       if (next.cancelled.aborted) continue
       const route = this.services.routes()?.findRoute(next.call.host, next.call.path)
-      // Calls of other routes go on: one route that is missing or full would otherwise keep all samples unscored.
+      // Calls on other routes proceed. Otherwise a single missing or full route would block the scoring of all samples.
       if (route === undefined || full.has(route) || !this.services.calls.hasRoom(route)) {
         if (route !== undefined) full.add(route)
         this.queue.push(next)
         continue
       }
-      this.ask(next, route).catch((error: unknown) => { this.services.stateLog.alarm('call to a scorer failed', { request: next.call.requestId, error: String(error) }) })
+      this.sendCall(next, route).catch((error: unknown) => { this.services.stateLog.alarm('call to a scorer failed', { request: next.call.requestId, error: String(error) }) })
     }
   }
 
-  private async ask (waiting: WaitingCall, route: Route): Promise<void> {
+  private async sendCall (waiting: QueuedCall, route: Route): Promise<void> {
     const { call, cancelled } = waiting
     const { calls, protocol, clock } = this.services
     const answer = await calls.call({
@@ -100,14 +100,14 @@
     if (answer.ok) {
       const { status, headers } = answer.value.answer
       const { seal } = protocol.answerHead(status, headers)
-      if (status >= FIRST_SUCCESS && status < AFTER_SUCCESS && seal !== undefined) return waiting.settle({ type: 'scored', score: seal })
+      if (status >= MIN_SUCCESS_STATUS && status < SUCCESS_STATUS_END && seal !== undefined) return waiting.resolve({ type: 'scored', score: seal })
       waiting.failures += Math.max(1, answer.value.failures)
-      if (waiting.failures >= route.attempts) return waiting.settle({ type: 'gave-up' })
+      if (waiting.failures >= route.attempts) return waiting.resolve({ type: 'gave-up' })
     }
-    const heldMs = answer.ok || answer.code !== 'requestHeld' ? 0 : Math.min(answer.retryAfterMs ?? 0, HELD_PAUSE_MS)
-    clock.after(Math.max(PAUSE_MS, heldMs), () => {
+    const heldMs = answer.ok || answer.code !== 'requestHeld' ? 0 : Math.min(answer.retryAfterMs ?? 0, MAX_HELD_RETRY_DELAY_MS)
+    clock.after(Math.max(RETRY_DELAY_MS, heldMs), () => {
       this.queue.push(waiting)
-      this.startCalls()
+      this.processQueue()
     })
   }
 }
--- a/src/actors/common/steps/startQueue.ts
+++ b/src/actors/common/steps/startQueue.ts
@@ -1,4 +1,4 @@
-/** The waiting items of all steps in the order in which they start: puts what is known of each before the pure order. */
+/** Sorts the waiting items of all steps into the order in which they start, using the pure comparison in `startOrder`. */
 
 import type { Route } from '../../../core/common/routes/routeConfiguration.ts'
 import type { ItemLengthEstimator } from '../../../core/common/steps/itemLengthEstimator.ts'
@@ -12,9 +12,9 @@
   readonly itemWork: ItemWork
 }
 
-/** Items of steps whose payloads are read, the first to start first; otherwise than by their latest start, step after step. */
+/** Returns the waiting items of all steps whose payloads have been read, sorted by latest start if `byLatestStart` is set, else step by step. */
 export function inStartOrder (works: readonly StepWork[], routeOf: (step: FoldedStep) => Route | undefined, lengths: ItemLengthEstimator, byLatestStart: boolean): QueuedItem[] {
-  const queued = works.flatMap((work) => {
+  const items = works.flatMap((work) => {
     const route = routeOf(work.step)
     if (route === undefined || work.payloads === undefined) return []
     const dueAtMs = work.step.submittedAt + route.dueMs
@@ -24,5 +24,5 @@
       return { work, route, itemWork, rank, ranBefore: runs > 0, remainingMs, dueAtMs }
     })
   })
-  return byLatestStart ? queued.sort(compareStartOrder) : queued
+  return byLatestStart ? items.sort(compareStartOrder) : items
 }
--- a/src/actors/common/steps/stepCleaner.ts
+++ b/src/actors/common/steps/stepCleaner.ts
@@ -1,7 +1,6 @@
 /**
- * Drops steps whose time is over from the store. A keyed topic keeps the newest record of each key
- * for good; without this a store that takes some hundred megabytes is full within the hour, and then
- * refuses every submission.
+ * Deletes expired steps from the store. A keyed topic retains the newest record of each key forever; without
+ * this, a store with a capacity of some hundred megabytes is full within an hour and then rejects every submission.
  */
 
 import type { Disposable } from '../../../base/common/lifecycle.ts'
@@ -10,7 +9,7 @@
 import { tombstone } from '../../../core/common/keyedRecords.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { StateLog } from '../../../ports/common/observation.ts'
-import type { DutyKeeper } from '../duties/dutyKeeper.ts'
+import type { DutyLeaseManager } from '../duties/dutyLeaseManager.ts'
 import type { GroupAppender } from '../store/groupAppender.ts'
 import type { StepTopic } from '../store/stepTopic.ts'
 import type { StepContents } from './stepContents.ts'
@@ -18,59 +17,59 @@
 export interface StepCleanerServices {
   readonly topic: Pick<StepTopic, 'steps' | 'keysOf' | 'contentKeysOf' | 'onChange'>
   readonly appender: Pick<GroupAppender, 'append'>
-  readonly contents: Pick<StepContents, 'drop'>
-  readonly duty: Pick<DutyKeeper, 'holds'>
+  readonly contents: Pick<StepContents, 'deleteRecords'>
+  readonly duty: Pick<DutyLeaseManager, 'holds'>
   readonly clock: Clock
   readonly stateLog: StateLog
 }
 
-/** Time between two looks, in milliseconds: a step that is kept a little longer does no harm. */
-const LOOK_MS = 10_000
+/** A step that is kept a little longer does no harm. */
+const CHECK_INTERVAL_MS = 10_000
 
 export class StepCleaner implements Disposable {
   private readonly disposables = new DisposableStore()
-  /** Monotonic times at which this host first read of each step. */
-  private readonly learnedAt = new Map<string, number>()
+  /** Monotonic time at which this host first read each step. */
+  private readonly firstSeenAt = new Map<string, number>()
 
-  /** @param keepMs how long a step is kept after this host has read of it, at least */
-  constructor (private readonly services: StepCleanerServices, private readonly keepMs: number) {
-    this.disposables.add(services.topic.onChange((change) => { this.note(change) }))
-    this.disposables.add(services.clock.every(LOOK_MS, () => { this.look() }))
+  /** @param retentionMs minimum time for which a step is kept after this host first read it, in milliseconds */
+  constructor (private readonly services: StepCleanerServices, private readonly retentionMs: number) {
+    this.disposables.add(services.topic.onChange((change) => { this.handleChange(change) }))
+    this.disposables.add(services.clock.every(CHECK_INTERVAL_MS, () => { this.removeExpired() }))
   }
 
   dispose (): void {
     this.disposables.dispose()
   }
 
-  private note (change: StepChange): void {
-    if (change.type === 'forgotten') this.learnedAt.delete(change.step)
+  private handleChange (change: StepChange): void {
+    if (change.type === 'forgotten') this.firstSeenAt.delete(change.step)
     if (change.type !== 'accepted') return
     const { id } = change.step.submission
-    if (!this.learnedAt.has(id)) this.learnedAt.set(id, this.services.clock.monotonic())
+    if (!this.firstSeenAt.has(id)) this.firstSeenAt.set(id, this.services.clock.monotonic())
   }
 
-  private look (): void {
+  private removeExpired (): void {
     const { topic, duty } = this.services
     if (!duty.holds) return
-    for (const step of [...topic.steps()]) if (this.isOver(step)) this.drop(step.submission.id)
+    for (const step of [...topic.steps()]) if (this.isExpired(step)) this.remove(step.submission.id)
   }
 
   /**
-   * A step that is still open is kept however old it is. The age is counted on this host's own monotonic clock: the
-   * submission's time is of another host, and a clock that is ahead of it would take steps away while trainers
-   * read them. A host that has just started keeps what it finds for as long again.
+   * An open step never expires. The age is measured on this host's monotonic clock, because the submission time comes
+   * from another host: a clock that is ahead of that host's would delete steps while trainers read them. A host that
+   * has just started keeps the steps that it finds for the full retention time.
    */
-  private isOver ({ submission, ended, results, items }: FoldedStep): boolean {
-    const learnedAt = this.learnedAt.get(submission.id)
-    return learnedAt !== undefined && this.services.clock.monotonic() - learnedAt > this.keepMs && (ended || results.length === items.size)
+  private isExpired ({ submission, ended, results, items }: FoldedStep): boolean {
+    const firstSeenAt = this.firstSeenAt.get(submission.id)
+    return firstSeenAt !== undefined && this.services.clock.monotonic() - firstSeenAt > this.retentionMs && (ended || results.length === items.size)
   }
 
-  private drop (step: string): void {
+  private remove (step: string): void {
     const { topic, contents, appender, stateLog } = this.services
     const records = topic.keysOf(step).map(tombstone)
-    // The step's own records go last: they name the others, and a holder that is lost in between leaves none behind.
-    contents.drop(topic.contentKeysOf(step)).then(async (gone) => gone.ok ? await appender.append(() => records, LOOK_MS) : gone).then((dropped) => {
-      stateLog.decided('step forgotten', { step, records: records.length, failed: !dropped.ok })
+    // The step's own records are deleted last, because they name the content records: if the holder is lost in between, its successor can still delete those.
+    contents.deleteRecords(topic.contentKeysOf(step)).then(async (deleted) => deleted.ok ? await appender.append(() => records, CHECK_INTERVAL_MS) : deleted).then((outcome) => {
+      stateLog.decided('step forgotten', { step, records: records.length, failed: !outcome.ok })
     }).catch((error: unknown) => { stateLog.alarm('step not forgotten', { step, error: String(error) }) })
   }
 }
--- a/src/actors/common/steps/stepHome.ts
+++ b/src/actors/common/steps/stepScheduler.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the steps while this host holds the duty: starts items on engines with free slots, has
- * finished texts scored, and lists results. Everything that must last is in the steps' topic; a
- * host that takes the duty over starts from there, and what two hosts finish twice the topic decides.
+ * Runs the steps while this host holds the duty: starts items on engines with free slots, has completed texts
+ * scored, and writes the results. All durable state is in the steps' topic. A host that takes over the duty starts
+ * from it, and if two hosts complete the same item, the order of records in the topic decides.
  */
 
 import type { Disposable } from '../../../base/common/lifecycle.ts'
@@ -16,85 +16,85 @@
 import type { ItemPayload, SampleResult } from '../../../core/common/steps/step.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
-import type { DutyKeeper } from '../duties/dutyKeeper.ts'
+import type { DutyLeaseManager } from '../duties/dutyLeaseManager.ts'
 import type { Mechanisms } from '../../../core/common/mechanisms.ts'
 import type { HeldRequests } from '../routes/heldRequests.ts'
 import type { NamedVersion } from '../routes/operatorTopic.ts'
 import type { GroupAppender } from '../store/groupAppender.ts'
 import type { StepTopic } from '../store/stepTopic.ts'
-import type { ModelWork } from '../weights/engineOrders.ts'
-import type { EngineBoard, EngineCandidate } from './engineBoard.ts'
+import type { ModelLoadDemand } from '../weights/weightLoadController.ts'
+import type { EngineRegistry, EngineCandidate } from './engineRegistry.ts'
 import { HeadStarts } from './headStarts.ts'
 import { ItemPlacement } from './itemPlacement.ts'
-import type { SavedTexts } from './heldTexts.ts'
-import { HeldTexts } from './heldTexts.ts'
+import type { SavedTexts } from './unfinishedTexts.ts'
+import { UnfinishedTexts } from './unfinishedTexts.ts'
 import { ItemGate } from './itemGate.ts'
-import type { ItemRunServices, RunEnd } from './itemRun.ts'
+import type { ItemRunServices, RunOutcome } from './itemRun.ts'
 import { runItem } from './itemRun.ts'
 import { ModelDemands } from './modelDemand.ts'
-import type { ProgressKeeper } from './progressKeeper.ts'
-import { ResultLister } from './resultLister.ts'
+import type { ProgressStore } from './progressStore.ts'
+import { ResultWriter } from './resultWriter.ts'
 import type { SampleScorer } from './sampleScorer.ts'
 import { inStartOrder } from './startQueue.ts'
 import type { StepContents } from './stepContents.ts'
-import { referenceOf } from './stepContents.ts'
+import { textReferenceOf } from './stepContents.ts'
 import type { ItemWork, StepWork } from './stepWork.ts'
-import { newWork, removeFrom } from './stepWork.ts'
+import { newItemWork, removeFrom } from './stepWork.ts'
 
-export interface StepHomeServices extends ItemRunServices {
+export interface StepSchedulerServices extends ItemRunServices {
   readonly topic: StepTopic
-  readonly duty: DutyKeeper
-  readonly board: EngineBoard
+  readonly duty: DutyLeaseManager
+  readonly board: EngineRegistry
   readonly appender: GroupAppender
   readonly contents: StepContents
   readonly scorer: SampleScorer
-  readonly progress: ProgressKeeper
+  readonly progress: ProgressStore
   readonly clock: Clock
   readonly metrics: Metrics
   readonly stateLog: StateLog
   readonly routes: () => RouteTable | undefined
   readonly version: (model: string) => NamedVersion | undefined
-  /** Model that an engine follows; it is preferred for items of that model. */
-  readonly follows: (engine: string) => string | undefined
+  /** Model that an engine is assigned to; the engine is preferred for items of that model. */
+  readonly assignedModel: (engine: string) => string | undefined
   readonly mechanisms: Mechanisms
   readonly held: HeldRequests
 }
 
-export interface StepHomeSettings {
-  readonly firstEventMs: number
-  readonly silenceMs: number
+export interface StepSchedulerSettings {
+  readonly firstEventTimeoutMs: number
+  readonly silenceTimeoutMs: number
 }
 
-/** Time between two looks for what no event has started, in milliseconds. */
-const LOOK_MS = 50
-/** Pause before payloads that the store did not give are asked for again, in milliseconds. */
-const PAYLOADS_RETRY_MS = 200
+/** Interval at which items are started and time limits are checked independently of events. */
+const SCHEDULE_INTERVAL_MS = 50
+/** Delay before payloads that the store did not deliver are read again. */
+const PAYLOADS_RETRY_DELAY_MS = 200
 
-export class StepHome implements Disposable {
+export class StepScheduler implements Disposable {
   private readonly disposables = new DisposableStore()
   private readonly works = new Map<string, StepWork>()
   private readonly modelDemands: ModelDemands
-  private readonly texts: HeldTexts
+  private readonly unfinishedTexts: UnfinishedTexts
   private readonly placement: ItemPlacement
   private readonly gate: ItemGate
   private readonly headStarts: HeadStarts
   private readonly lengths = new ItemLengthEstimator()
-  private readonly lister: ResultLister
+  private readonly resultWriter: ResultWriter
   private stopping = false
-  /** Present while this host holds the duty. */
+  /** Defined while this host holds the duty. */
   private timer: Disposable | undefined
-  private reading: Disposable | undefined
+  private activeReading: Disposable | undefined
 
-  constructor (private readonly services: StepHomeServices, private readonly settings: StepHomeSettings) {
+  constructor (private readonly services: StepSchedulerServices, private readonly settings: StepSchedulerSettings) {
     this.placement = new ItemPlacement(services)
     this.gate = new ItemGate({ ...services, onAdmitted: () => { this.schedule() } })
-    this.lister = new ResultLister(services)
+    this.resultWriter = new ResultWriter(services)
     this.modelDemands = new ModelDemands({ ...services, routeOf: (step) => this.routeOf(step) })
-    this.texts = new HeldTexts({ ...services, nonce: () => services.contents.nonce() })
-    this.headStarts = new HeadStarts({ ...services, placement: this.placement, gate: this.gate, newText: () => this.texts.begin(), lengths: this.lengths, routeOf: (step) => this.routeOf(step) }, settings)
-    this.disposables.add(services.topic.onChange((change) => { this.take(change) }))
-    this.disposables.add(services.duty.onChange(() => { this.dutyChanged() }))
-    this.disposables.add(services.duty.onClaim(() => { this.prepare() }))
+    this.unfinishedTexts = new UnfinishedTexts({ ...services, nonce: () => services.contents.nonce() })
+    this.headStarts = new HeadStarts({ ...services, placement: this.placement, gate: this.gate, createText: () => this.unfinishedTexts.createText(), lengths: this.lengths, routeOf: (step) => this.routeOf(step) }, settings)
+    this.disposables.add(services.topic.onChange((change) => { this.handleStepChange(change) }))
+    this.disposables.add(services.duty.onChange(() => { this.handleDutyChange() }))
+    this.disposables.add(services.duty.onClaim(() => { this.prefetch() }))
   }
 
   /** All items of the steps that run here. */
@@ -102,26 +102,26 @@
     return [...this.works.values()].flatMap(({ items }) => [...items.values()])
   }
 
-  /** Items under way. */
-  get underway (): number {
+  /** Number of items that are running, being scored or being written. */
+  get activeItemCount (): number {
     return this.items.filter(({ state }) => state !== 'waiting').length
   }
 
-  /** Where the time of an item of a step went that this host runs; `undefined` where it does not run it. */
+  /** Returns the time that an item spent in each phase; `undefined` if this host does not run it. */
   phasesOf (step: string, item: string): PhaseTimes | undefined {
     return this.works.get(step)?.items.get(item)?.phases.times(this.services.clock.monotonic())
   }
 
-  /** What models need of the engines. */
-  demands (): ModelWork[] {
+  /** Returns what each model needs from the engines. */
+  demands (): ModelLoadDemand[] {
     return this.modelDemands.all([...this.works.values()])
   }
 
-  /** Starts whatever can be started. */
+  /** Starts all items and head starts that can run now. */
   schedule (): void {
     if (!this.services.duty.holds || this.stopping) return
-    const works = this.inOrder()
-    this.headStarts.begin(works.some(({ waiting }) => waiting.length > 0))
+    const works = this.oldestFirst()
+    this.headStarts.startPlanned(works.some(({ waiting }) => waiting.length > 0))
     this.startItems(works)
   }
 
@@ -131,43 +131,43 @@
     this.disposables.dispose()
   }
 
-  private take (change: StepChange): void {
+  private handleStepChange (change: StepChange): void {
     switch (change.type) {
       case 'accepted':
-        this.modelDemands.noteAccepted(change.step)
+        this.modelDemands.recordAcceptedStep(change.step)
         if (this.services.duty.holds) this.adopt(change.step)
         return this.schedule()
       case 'listed': return this.dropItem(change.step.submission.id, change.result.item)
       case 'ended':
-        this.headStarts.stepEnded(change.step)
+        this.headStarts.recordStepEnd(change.step)
         return this.dropStep(change.step.submission.id, 'ended')
       case 'forgotten': return this.dropStep(change.step, 'forgotten')
       case 'duty': return undefined
     }
   }
 
-  private dutyChanged (): void {
+  private handleDutyChange (): void {
     this.timer?.dispose()
-    this.reading?.dispose()
+    this.activeReading?.dispose()
     if (!this.services.duty.holds) return this.dropAll()
-    this.timer = this.services.clock.every(LOOK_MS, () => { this.look() })
-    this.reading = this.services.topic.readWithoutPause()
+    this.timer = this.services.clock.every(SCHEDULE_INTERVAL_MS, () => { this.runPeriodicChecks() })
+    this.activeReading = this.services.topic.readWithoutPause()
     this.takeOver().catch((error: unknown) => { this.services.stateLog.alarm('steps not taken over', { error: String(error) }) })
   }
 
-  /** Goes on with the steps of a former holder from the progress that it saved. */
+  /** Continues the steps of the former holder from the progress that it saved. */
   private async takeOver (): Promise<void> {
-    const saved = await this.texts.saved(this.openSteps().length > 0)
+    const saved = await this.unfinishedTexts.loadSaved(this.openSteps().length > 0)
     if (!this.services.duty.holds) return
     for (const step of this.openSteps()) this.adopt(step, saved)
     this.schedule()
   }
 
-  /** Reads what the open steps need while the claim of the duty is under way; another host may win it. */
-  private prepare (): void {
-    this.texts.readAhead(this.openSteps().length > 0)
+  /** Reads the data of the open steps while this host's claim of the duty is pending. Another host may win the duty. */
+  private prefetch (): void {
+    this.unfinishedTexts.readAhead(this.openSteps().length > 0)
     for (const step of this.openSteps()) {
-      this.services.contents.prepare(step).catch((error: unknown) => { this.services.stateLog.alarm('items of a step cannot be read', { step: step.submission.id, error: String(error) }) })
+      this.services.contents.prefetch(step).catch((error: unknown) => { this.services.stateLog.alarm('items of a step cannot be read', { step: step.submission.id, error: String(error) }) })
     }
   }
 
@@ -183,42 +183,42 @@
     const order = orderOf(submission, (group) => carried.has(group))
     const open = order.filter(({ item: { id } }) => !step.positions.has(id))
     const now = this.services.clock.monotonic()
-    const waiting = open.map((planned) => newWork(planned, this.texts.begin(), now))
-    const work: StepWork = { step, items: new Map(waiting.map((itemWork) => [itemWork.item.id, itemWork])), longFrom: longItemThreshold(submission.items), payloads: undefined, carried, finished: new Map(), waiting }
+    const waiting = open.map((planned) => newItemWork(planned, this.unfinishedTexts.createText(), now))
+    const work: StepWork = { step, items: new Map(waiting.map((itemWork) => [itemWork.item.id, itemWork])), longItemMinTokens: longItemThreshold(submission.items), payloads: undefined, carriedGroups: carried, finished: new Map(), waiting }
     this.works.set(submission.id, work)
     this.services.stateLog.decided('step adopted', { step: submission.id, number: submission.number, model: submission.model, minimumVersion: submission.minimumVersion, items: open.length, wantedGroups: submission.wantedGroups, term: this.services.duty.term })
     this.readPayloads(work, saved)
   }
 
-  /** Reads what the runs of a step's items need; they start then, and go on from what is saved of them. */
+  /** Reads the payloads of a step's items, then starts the items, which resume from their saved texts. */
   private readPayloads (work: StepWork, saved: SavedTexts): void {
     const id = work.step.submission.id
     this.services.contents.payloads(work.step).then((payloads) => {
       if (this.works.get(id) !== work) return
       if (payloads === undefined) {
         this.services.stateLog.alarm('items of a step cannot be read', { step: id, keys: work.step.payloadKeys.length })
-        this.services.clock.after(PAYLOADS_RETRY_MS, () => { if (this.works.get(id) === work) this.readPayloads(work, saved) })
+        this.services.clock.after(PAYLOADS_RETRY_DELAY_MS, () => { if (this.works.get(id) === work) this.readPayloads(work, saved) })
         return
       }
       work.payloads = payloads
       const now = this.services.clock.monotonic()
       for (const { phases } of work.items.values()) phases.enter('waiting', now)
       for (const itemWork of [...work.waiting]) {
-        this.texts.restore(work, itemWork, saved, this.routeOf(work.step)?.singleVersion === true, this.headStarts.take(work, itemWork.item.id))
-        this.useEarlier(work, itemWork)
+        this.unfinishedTexts.restore(work, itemWork, saved, this.routeOf(work.step)?.singleVersion === true, this.headStarts.consume(work, itemWork.item.id))
+        this.reuseEarlierResult(work, itemWork)
       }
       this.schedule()
     }).catch((error: unknown) => { this.services.stateLog.alarm('run of an item failed', { step: id, error: String(error) }) })
   }
 
-  /** A text of an earlier step serves if its versions fit; its score too, if the scorer is asked the same. */
-  private useEarlier (work: StepWork, itemWork: ItemWork): void {
+  /** Reuses the text of an earlier step if its model versions are recent enough, and its score if the scorer request is the same. */
+  private reuseEarlierResult (work: StepWork, itemWork: ItemWork): void {
     const { submission } = work.step
     const earlier = this.services.topic.earlierResult(itemWork.item.id, submission.id, submission.minimumVersion)
     if (earlier === undefined) return
     if (this.routeOf(work.step)?.singleVersion === true && earlier.result.versions.length > 1) return
     const { textKey, textAt, textFrom, ...result } = earlier.result
-    const reference = referenceOf(earlier.result)
+    const reference = textReferenceOf(earlier.result)
     if (reference === undefined) return
     removeFrom(work.waiting, itemWork)
     itemWork.state = 'scoring'
@@ -226,11 +226,11 @@
     this.services.contents.texts(earlier.step, [reference]).then(([text]) => {
       if (itemWork.cancel.signal.aborted) return
       if (text === undefined) {
-        this.again(work, itemWork, false)
+        this.requeue(work, itemWork, false)
         return this.schedule()
       }
       this.services.metrics.count('steps.reused')
-      if (earlier.item.scoredBy === itemWork.item.scoredBy) this.lister.list(work, itemWork, { ...result, text })
+      if (earlier.item.scoredBy === itemWork.item.scoredBy) this.resultWriter.write(work, itemWork, { ...result, text })
       else this.score(work, itemWork, { ...result, text, score: undefined })
     }).catch((error: unknown) => { this.services.stateLog.alarm('scoring failed', { item: itemWork.item.id, error: String(error) }) })
   }
@@ -239,7 +239,7 @@
     return this.services.routes()?.findRoute(step.submission.host, step.submission.path)
   }
 
-  /** Starts waiting items of all steps; engines that are full for one of a step are so for the others of that step. */
+  /** Starts waiting items of all steps. If no engine has a slot for one item of a step, the other items of that step are skipped. */
   private startItems (works: readonly StepWork[]): void {
     const full = new Set<StepWork>()
     for (const { work, route, itemWork } of inStartOrder(works, (step) => this.routeOf(step), this.lengths, this.services.mechanisms.start_order)) {
@@ -259,14 +259,14 @@
     const { engine } = candidate
     const { submission } = work.step
     const stopRun = new AbortController()
-    const began = this.services.clock.monotonic()
+    const startedAt = this.services.clock.monotonic()
     itemWork.state = 'running'
     itemWork.runs++
-    itemWork.stopRun = stopRun
+    itemWork.runCancellation = stopRun
     itemWork.engine = engine
-    itemWork.startedAt = began
-    itemWork.beganWith = itemWork.text.events.length
-    itemWork.phases.enter('starting', began)
+    itemWork.startedAt = startedAt
+    itemWork.eventsAtStart = itemWork.text.events.length
+    itemWork.phases.enter('starting', startedAt)
     engine.running++
     runItem(this.services, engine, itemWork.item, itemWork.text, {
       host: submission.host,
@@ -274,21 +274,21 @@
       model: submission.model,
       minimumVersion: submission.minimumVersion,
       payload,
-      firstEventMs: this.settings.firstEventMs,
-      silenceMs: this.settings.silenceMs,
+      firstEventTimeoutMs: this.settings.firstEventTimeoutMs,
+      silenceTimeoutMs: this.settings.silenceTimeoutMs,
       cancelled: AbortSignal.any([itemWork.cancel.signal, stopRun.signal]),
-      onBegin: () => { itemWork.phases.enter('running', this.services.clock.monotonic()) }
+      onFirstEvent: () => { itemWork.phases.enter('running', this.services.clock.monotonic()) }
     }).then((end) => {
       engine.running--
       itemWork.engine = undefined
       if (stopRun.signal.aborted && end.type === 'broken') end = { type: 'moved' }
-      this.gate.runEnded(submission.host, itemWork, payload, end)
-      if (!itemWork.cancel.signal.aborted) this.runEnded(work, route, itemWork, candidate, end, this.services.clock.monotonic() - began)
+      this.gate.handleRunEnd(submission.host, itemWork, payload, end)
+      if (!itemWork.cancel.signal.aborted) this.runEnded(work, route, itemWork, candidate, end, this.services.clock.monotonic() - startedAt)
       this.schedule()
     }).catch((error: unknown) => { this.services.stateLog.alarm('run of an item failed', { item: itemWork.item.id, error: String(error) }) })
   }
 
-  private runEnded (work: StepWork, route: Route, itemWork: ItemWork, { engine }: EngineCandidate, end: RunEnd, tookMs: number): void {
+  private runEnded (work: StepWork, route: Route, itemWork: ItemWork, { engine }: EngineCandidate, end: RunOutcome, tookMs: number): void {
     const { submission } = work.step
     const { item, text } = itemWork
     this.services.metrics.timing('steps.run', tookMs)
@@ -297,29 +297,29 @@
       case 'complete':
         engine.target.answered(tookMs)
         work.finished.set(item.id, text.events.length)
-        this.lengths.recordItem(item.expectedTokens, text.events.length, itemWork.runs === 1 && itemWork.beganWith === 0 ? tookMs : undefined)
-        if (route.singleVersion && text.versions.size > 1) return this.again(work, itemWork, true)
+        this.lengths.recordItem(item.expectedTokens, text.events.length, itemWork.runs === 1 && itemWork.eventsAtStart === 0 ? tookMs : undefined)
+        if (route.singleVersion && text.versions.size > 1) return this.requeue(work, itemWork, true)
         return this.score(work, itemWork, { item: item.id, state: 'complete', text: text.text, versions: [...text.versions].sort((a, b) => a - b), score: undefined })
       case 'refused':
-        engine.refused()
-        return this.again(work, itemWork, false)
+        engine.recordRefusal()
+        return this.requeue(work, itemWork, false)
       case 'moved':
-      case 'too-old': return this.again(work, itemWork, false)
-      case 'restarted': return this.again(work, itemWork, route.singleVersion)
+      case 'too-old': return this.requeue(work, itemWork, false)
+      case 'restarted': return this.requeue(work, itemWork, route.singleVersion)
       case 'broken':
         engine.target.failed()
         this.services.client.distrust(engine.target.definition.address)
-        return this.again(work, itemWork, route.singleVersion)
+        return this.requeue(work, itemWork, route.singleVersion)
       case 'failed':
         itemWork.failures++
-        if (itemWork.failures >= route.attempts) return this.giveUpItem(work, itemWork, `${itemWork.failures} engines failed`)
-        return this.again(work, itemWork, true)
-      case 'impossible': return this.giveUpItem(work, itemWork, 'the engine says that it can never be done')
+        if (itemWork.failures >= route.attempts) return this.recordItemAsLost(work, itemWork, `failed ${itemWork.failures} times on engines, route allows ${route.attempts} attempts`)
+        return this.requeue(work, itemWork, true)
+      case 'impossible': return this.recordItemAsLost(work, itemWork, 'the engine reported that the item can never be completed')
     }
   }
 
-  /** The item waits again, in front of the others: it is later than they are. */
-  private again (work: StepWork, itemWork: ItemWork, fromStart: boolean): void {
+  /** Puts the item back at the front of the queue, as it is later than the other items. */
+  private requeue (work: StepWork, itemWork: ItemWork, fromStart: boolean): void {
     if (fromStart) itemWork.text.clear()
     itemWork.state = 'waiting'
     itemWork.phases.enter('waiting', this.services.clock.monotonic())
@@ -328,21 +328,21 @@
 
   private score (work: StepWork, itemWork: ItemWork, result: SampleResult): void {
     const scorer = work.payloads?.get(itemWork.item.id)?.scorer
-    if (scorer === undefined) return this.lister.list(work, itemWork, result)
+    if (scorer === undefined) return this.resultWriter.write(work, itemWork, result)
     itemWork.state = 'scoring'
     itemWork.phases.enter('scoring', this.services.clock.monotonic())
     this.services.scorer.score(scorer, itemWork.cancel.signal).then((outcome) => {
       if (itemWork.cancel.signal.aborted) return
-      if (outcome.type === 'scored') this.lister.list(work, itemWork, { ...result, score: outcome.score })
-      else this.giveUpItem(work, itemWork, 'the scorer failed as often as its route allows')
+      if (outcome.type === 'scored') this.resultWriter.write(work, itemWork, { ...result, score: outcome.score })
+      else this.recordItemAsLost(work, itemWork, 'the scorer failed as many times as its route allows attempts')
     }).catch((error: unknown) => { this.services.stateLog.alarm('scoring failed', { item: itemWork.item.id, error: String(error) }) })
   }
 
-  private giveUpItem (work: StepWork, itemWork: ItemWork, why: string): void {
+  private recordItemAsLost (work: StepWork, itemWork: ItemWork, why: string): void {
     const { item, text, runs } = itemWork
     this.services.metrics.count('steps.lost')
     this.services.stateLog.decided('item listed as lost', { item: item.id, step: work.step.submission.id, failed: true, why, runs, events: text.events.length })
-    this.lister.list(work, itemWork, { item: item.id, state: 'lost', text: '', versions: [], score: undefined })
+    this.resultWriter.write(work, itemWork, { item: item.id, state: 'lost', text: '', versions: [], score: undefined })
   }
 
   private dropItem (step: string, item: string): void {
@@ -360,7 +360,7 @@
   private dropStep (step: string, why: string): void {
     const work = this.works.get(step)
     if (work === undefined) return
-    this.texts.keep(work)
+    this.unfinishedTexts.retain(work)
     this.services.stateLog.decided('step dropped', { step, why, open: work.items.size, waiting: work.waiting.length })
     for (const { cancel } of work.items.values()) cancel.abort()
     this.works.delete(step)
@@ -368,58 +368,58 @@
   }
 
   private dropAll (): void {
-    this.headStarts.dropAll()
+    this.headStarts.cancelAll()
     for (const step of [...this.works.keys()]) this.dropStep(step, 'duty lost')
   }
 
-  /** Gives up what is too old, and starts what became possible without an event. */
-  private look (): void {
+  /** Expires steps that exceed their retention time and starts items that can run without a preceding event. */
+  private runPeriodicChecks (): void {
     if (!this.services.duty.holds) return
-    this.headStarts.look(this.inOrder())
+    this.headStarts.replan(this.oldestFirst())
     if (this.works.size === 0) return
     const now = this.services.clock.wall()
     for (const work of [...this.works.values()]) {
       const route = this.routeOf(work.step)
-      if (route !== undefined && now - work.step.submittedAt > route.retentionMs) this.giveUp(work)
-      if (route !== undefined) this.moveToFaster(work, route)
+      if (route !== undefined && now - work.step.submittedAt > route.retentionMs) this.expireStep(work)
+      if (route !== undefined) this.moveToFasterEngine(work, route)
     }
     this.schedule()
-    this.texts.save(this.works.values()).catch((error: unknown) => { this.services.stateLog.alarm('progress not saved', { error: String(error) }) })
+    this.unfinishedTexts.save(this.works.values()).catch((error: unknown) => { this.services.stateLog.alarm('progress not saved', { error: String(error) }) })
   }
 
-  /** The steps that run here, the oldest first. */
-  private inOrder (): StepWork[] {
+  /** Returns the active steps, oldest first. */
+  private oldestFirst (): StepWork[] {
     return [...this.works.values()].sort((a, b) => a.step.submittedAt - b.step.submittedAt)
   }
 
-  /** Lets one run go on at a faster engine; a text of one version only would have to begin anew there. */
-  private moveToFaster (work: StepWork, route: Route): void {
+  /** Moves one run to a faster engine. Not done for routes that require a single version, as their texts would have to start over. */
+  private moveToFasterEngine (work: StepWork, route: Route): void {
     if (route.singleVersion || work.waiting.length > 0) return
     const now = this.services.clock.monotonic()
     const move = this.placement.nextMove(work, route, now)
     if (move === undefined) return
-    const { itemWork, here, better } = move
-    this.services.stateLog.decided('run moved to a faster engine', { item: itemWork.item.id, step: work.step.submission.id, engine: here.id, slowness: here.slowness, to: better.id, toSlowness: better.slowness, lastedMs: Math.round(now - itemWork.startedAt), events: itemWork.text.events.length })
+    const { itemWork, current, faster } = move
+    this.services.stateLog.decided('run moved to a faster engine', { item: itemWork.item.id, step: work.step.submission.id, engine: current.id, slowness: current.slowness, to: faster.id, toSlowness: faster.slowness, lastedMs: Math.round(now - itemWork.startedAt), events: itemWork.text.events.length })
     itemWork.state = 'waiting'
-    itemWork.stopRun?.abort()
+    itemWork.runCancellation?.abort()
   }
 
   /** Saves all progress before another host takes over. */
   async handOver (): Promise<void> {
     this.stopping = true
-    this.headStarts.dropAll()
-    await this.texts.save(this.works.values(), true)
+    this.headStarts.cancelAll()
+    await this.unfinishedTexts.save(this.works.values(), true)
   }
 
-  private giveUp (work: StepWork): void {
+  private expireStep (work: StepWork): void {
     for (const itemWork of work.items.values()) {
       if (itemWork.state === 'listing') continue
       itemWork.cancel.abort()
       removeFrom(work.waiting, itemWork)
-      // What is under way for the item ends, and the writing of its result does not: it goes on until the step is dropped.
-      const ended: ItemWork = { ...itemWork, cancel: new AbortController() }
-      work.items.set(itemWork.item.id, ended)
-      this.giveUpItem(work, ended, 'its time is over')
+      // Aborts the item's current run or scoring. The new work object has its own signal, so that writing the result continues until the step is dropped.
+      const expired: ItemWork = { ...itemWork, cancel: new AbortController() }
+      work.items.set(itemWork.item.id, expired)
+      this.recordItemAsLost(work, expired, 'the retention time of its step is over')
     }
   }
 }
--- a/src/actors/common/steps/stepWork.ts
+++ b/src/actors/common/steps/stepWork.ts
@@ -1,10 +1,10 @@
-/** What the holder of the steps' duty keeps of a step and of each of its items. */
+/** State of a step and of its items on the host that holds the steps' duty. */
 
 import type { FoldedStep } from '../../../core/common/steps/stepFold.ts'
 import type { ItemPayload, StepItem } from '../../../core/common/steps/step.ts'
 import { PhaseTimer } from '../../../core/common/steps/itemPhases.ts'
 import type { ItemRank, PlannedItem } from '../../../core/common/steps/stepPlan.ts'
-import type { Engine } from './engineBoard.ts'
+import type { Engine } from './engineRegistry.ts'
 import type { ItemText } from './itemText.ts'
 
 export type ItemState = 'waiting' | 'running' | 'scoring' | 'listing'
@@ -14,14 +14,14 @@
   readonly rank: ItemRank
   readonly text: ItemText
   readonly cancel: AbortController
-  /** Ends the run that is under way and nothing else. */
-  stopRun: AbortController | undefined
+  /** Cancels the current run but not the item. */
+  runCancellation: AbortController | undefined
   engine: Engine | undefined
   startedAt: number
-  /** Events that its text had at the start of its newest run. */
-  beganWith: number
+  /** Number of events in the text when the current run started. */
+  eventsAtStart: number
   state: ItemState
-  /** Answers of engines that said that they failed. */
+  /** Number of runs for which the engine reported a failure. */
   failures: number
   runs: number
   readonly phases: PhaseTimer
@@ -30,24 +30,23 @@
 export interface StepWork {
   readonly step: FoldedStep
   readonly items: Map<string, ItemWork>
-  /** What the items' runs need; absent until it was read, and nothing starts before. */
+  /** Payloads of the items; `undefined` until they have been read, and no item starts before. */
   payloads: ReadonlyMap<string, ItemPayload> | undefined
-  /** Expected tokens from which on an item of this step counts as long. */
-  readonly longFrom: number
-  /** Groups that an earlier step left over. */
-  readonly carried: ReadonlySet<string>
-  /** Events of items whose texts are whole. */
+  /** Number of expected tokens from which an item of this step counts as long. */
+  readonly longItemMinTokens: number
+  /** Groups carried over from an earlier step. */
+  readonly carriedGroups: ReadonlySet<string>
+  /** Event counts of items with complete texts. */
   readonly finished: Map<string, number>
-  /** Items that wait, in the order in which they are started. */
+  /** Waiting items in the order in which they start. */
   readonly waiting: ItemWork[]
 }
 
-/** An item that this host takes up at this monotonic time, in milliseconds. */
-export function newWork ({ item, rank }: PlannedItem, text: ItemText, nowMs: number): ItemWork {
-  return { item, rank, text, cancel: new AbortController(), stopRun: undefined, engine: undefined, startedAt: 0, beganWith: 0, state: 'waiting', failures: 0, runs: 0, phases: new PhaseTimer(nowMs) }
+/** Creates the state of an item that this host starts to handle at monotonic time `nowMs`. */
+export function newItemWork ({ item, rank }: PlannedItem, text: ItemText, nowMs: number): ItemWork {
+  return { item, rank, text, cancel: new AbortController(), runCancellation: undefined, engine: undefined, startedAt: 0, eventsAtStart: 0, state: 'waiting', failures: 0, runs: 0, phases: new PhaseTimer(nowMs) }
 }
 
-/** Takes a value out of a list, if it is there. */
 export function removeFrom<T> (list: T[], value: T): void {
   const index = list.indexOf(value)
   if (index >= 0) list.splice(index, 1)
--- a/src/actors/common/store/stepTopic.ts
+++ b/src/actors/common/store/stepTopic.ts
@@ -6,14 +6,14 @@
 import { StepFold } from '../../../core/common/steps/stepFold.ts'
 import { changedPositions } from '../../../core/common/steps/positionChanges.ts'
 import type { KeyedEntry } from '../../../ports/common/keyedLog.ts'
-import type { DutySource } from '../duties/dutyKeeper.ts'
+import type { DutyTopic } from '../duties/dutyLeaseManager.ts'
 import type { TailListener, TailServices, TailSettings } from './keyedTail.ts'
 import { KeyedTail } from './keyedTail.ts'
 
 /** Maximum number of log lines about moved results per load: the first ones show where the orders diverge. */
 const MAX_MOVED_RESULT_LINES = 10
 
-export class StepTopic implements DutySource, Disposable {
+export class StepTopic implements DutyTopic, Disposable {
   private readonly fold = new StepFold()
   private readonly tail: KeyedTail
   private readonly changeEmitter = new Emitter<StepChange>()
--- a/src/actors/common/usage/usageReporter.ts
+++ b/src/actors/common/usage/usageReporter.ts
@@ -14,12 +14,12 @@
 import type { KeyedLog } from '../../../ports/common/keyedLog.ts'
 import type { StateLog } from '../../../ports/common/observation.ts'
 import type { PlatformDuties } from '../../../ports/common/platformDuties.ts'
-import type { DutyKeeper } from '../duties/dutyKeeper.ts'
+import type { DutyLeaseManager } from '../duties/dutyLeaseManager.ts'
 import { keyNonce } from '../store/groupAppender.ts'
 import { UsageLedger } from './usageLedger.ts'
 
 export interface UsageReporterServices {
-  readonly duty: Pick<DutyKeeper, 'alone' | 'holds' | 'term' | 'onChange'>
+  readonly duty: Pick<DutyLeaseManager, 'alone' | 'holds' | 'term' | 'onChange'>
   readonly log: KeyedLog
   readonly duties: Pick<PlatformDuties, 'reportUsage'>
   readonly clock: Clock
--- a/src/entry/node/front/stepRoutes.ts
+++ b/src/entry/node/front/stepRoutes.ts
@@ -1,6 +1,6 @@
 /** Steps at the callers' address. */
 
-import type { StepDesk } from '../../../actors/common/steps/stepDesk.ts'
+import type { StepRequestHandler } from '../../../actors/common/steps/stepRequestHandler.ts'
 import { failure } from '../../../base/common/resultCode.ts'
 import type { CallerIdentity } from '../../../core/common/identity/workspaces.ts'
 import { workspaceOf } from '../../../core/common/identity/workspaces.ts'
@@ -12,7 +12,7 @@
 const OK = 200
 
 export class StepRoutes {
-  constructor (private readonly desk: StepDesk, private readonly protocol: FrontProtocol) {}
+  constructor (private readonly desk: StepRequestHandler, private readonly protocol: FrontProtocol) {}
 
   async submit (exchange: FrontExchange, { read: { requestId }, route, caller, body }: ForwardedRequest): Promise<void> {
     if (exchange.method !== 'POST') return exchange.fail(failure('methodNotAllowed', `route ${route.name} takes submissions by POST`))
@@ -34,7 +34,7 @@
         return exchange.send(status, { ...headers }, body)
       }
       case 'read-body': {
-        const body = await this.desk.body({ id: read.step, workspace }, read.item)
+        const body = await this.desk.itemBody({ id: read.step, workspace }, read.item)
         if (!body.ok) return exchange.fail(body)
         return exchange.send(OK, { 'content-type': 'application/octet-stream' }, Buffer.from(body.value, 'base64'))
       }
--- a/src/host/node/routed/followedTopics.ts
+++ b/src/host/node/routed/followedTopics.ts
@@ -27,13 +27,13 @@
 export function createFollowedTopics ({ settings: { store }, services, disposables }: HostBase, { standing }: OtherHosts, { reach, keyedLog }: StoreLinks): FollowedTopics {
   const followed = { ...services, stateLog: new OutageLogDeduplicator(services.stateLog), onRegained: reach.onRegained }
   const tail = (name: string, pauseMs: () => number): TailSettings => ({ name, longPollMs: store.long_poll, pauseMs })
-  const followPause = (usualMs: number): number => followPauseMs(standing.now.hosts, usualMs)
+  const followPause = (usualMs: number): number => followPauseMs(standing.current.hosts, usualMs)
 
   const operator = disposables.add(new OperatorTopic({ log: keyedLog(registryProtocol.operatorTopic), ...followed }, tail(registryProtocol.operatorTopic, () => 0), registryProtocol))
   const targets = new TargetTable(services)
   const targetTopic = disposables.add(new TargetTopic({ log: keyedLog(registryProtocol.targetTopic), ...followed }, tail(registryProtocol.targetTopic, () => followPause(store.registry_pause)), registryProtocol, targets))
   const stepLog = keyedLog(store.topic)
-  const topic = disposables.add(new StepTopic({ log: stepLog, ...followed }, tail(store.topic, () => isCandidate(standing.now) ? store.read_pause : followPause(store.read_pause))))
+  const topic = disposables.add(new StepTopic({ log: stepLog, ...followed }, tail(store.topic, () => isCandidate(standing.current) ? store.read_pause : followPause(store.read_pause))))
   return {
     operator,
     targets,
--- a/src/host/node/routed/hostSteps.ts
+++ b/src/host/node/routed/hostSteps.ts
@@ -1,19 +1,19 @@
 /** What a host does for steps: takes and gives them for trainers, and runs them while it holds their duty. */
 
-import { DutyKeeper } from '../../../actors/common/duties/dutyKeeper.ts'
+import { DutyLeaseManager } from '../../../actors/common/duties/dutyLeaseManager.ts'
 import type { RouteCalls } from '../../../actors/common/routes/routeCalls.ts'
 import { EndsCleaner } from '../../../actors/common/routes/endsCleaner.ts'
-import { ContentHolders, serveContents } from '../../../actors/common/steps/contentHolders.ts'
-import { EngineBoard } from '../../../actors/common/steps/engineBoard.ts'
-import { ProgressKeeper } from '../../../actors/common/steps/progressKeeper.ts'
-import { noteResults } from '../../../actors/common/steps/resultNotes.ts'
+import { PeerContentReader, registerContentHandlers } from '../../../actors/common/steps/peerContentReader.ts'
+import { EngineRegistry } from '../../../actors/common/steps/engineRegistry.ts'
+import { ProgressStore } from '../../../actors/common/steps/progressStore.ts'
+import { logResults } from '../../../actors/common/steps/resultLogging.ts'
 import { SampleScorer } from '../../../actors/common/steps/sampleScorer.ts'
 import { StepCleaner } from '../../../actors/common/steps/stepCleaner.ts'
 import { StepContents } from '../../../actors/common/steps/stepContents.ts'
-import { StepDesk } from '../../../actors/common/steps/stepDesk.ts'
-import { StepHome } from '../../../actors/common/steps/stepHome.ts'
+import { StepRequestHandler } from '../../../actors/common/steps/stepRequestHandler.ts'
+import { StepScheduler } from '../../../actors/common/steps/stepScheduler.ts'
 import { GroupAppender } from '../../../actors/common/store/groupAppender.ts'
-import { EngineOrders } from '../../../actors/common/weights/engineOrders.ts'
+import { WeightLoadController } from '../../../actors/common/weights/weightLoadController.ts'
 import type { HttpTargetClient } from '../../../adapters/node/httpTargetClient.ts'
 import { asHostId } from '../../../base/common/ids.ts'
 import { machineOf } from '../../../core/common/duties/dutyOrder.ts'
@@ -36,9 +36,9 @@
 }
 
 export interface HostSteps {
-  readonly duty: DutyKeeper
-  readonly home: StepHome
-  readonly desk: StepDesk
+  readonly duty: DutyLeaseManager
+  readonly home: StepScheduler
+  readonly desk: StepRequestHandler
   /** Records that the store has not confirmed. */
   readonly backlog: () => number
 }
@@ -52,54 +52,54 @@
   const contentsLog = links.keyedLog(store.contents_topic)
   const contentsAppender = new GroupAppender({ ...services, log: contentsLog }, { maxCallCharacters: callCharacters })
   const contents = createContents(base, others, { log: contentsLog, appender: contentsAppender })
-  disposables.add(topic.onChange((change) => { if (change.type === 'forgotten') contents.forget(change.step) }))
+  disposables.add(topic.onChange((change) => { if (change.type === 'forgotten') contents.evict(change.step) }))
   const appender = new GroupAppender({ ...services, log: stepLog }, { maxCallCharacters: callCharacters })
   const duty = createDuty(base, others, topics)
-  disposables.add(noteResults({ topic, duty, clock, metrics, stateLog, routes, phasesOf: (step, item) => home.phasesOf(step, item) }))
-  const board = new EngineBoard(topics.targets, clock, routes)
+  disposables.add(logResults({ topic, duty, clock, metrics, stateLog, routes, phasesOf: (step, item) => home.phasesOf(step, item) }))
+  const board = new EngineRegistry(topics.targets, clock, routes)
   const scorer = disposables.add(new SampleScorer({ calls, protocol: targetProtocol, clock, stateLog, routes }))
   const running = { ...services, client, ...guards, protocol: targetProtocol, duty, board, mechanisms }
-  const home: StepHome = disposables.add(new StepHome({
+  const home: StepScheduler = disposables.add(new StepScheduler({
     ...running,
     topic,
     appender,
     contents,
     scorer,
-    progress: new ProgressKeeper({ ...services, history: links.progress }, { periodMs: steps.progress, recordBytes: store.record_bytes, inUse: mechanisms.progress }),
+    progress: new ProgressStore({ ...services, history: links.progress }, { saveIntervalMs: steps.progress, maxRecordBytes: store.record_bytes, enabled: mechanisms.progress }),
     routes,
     version: (model) => operator.version(model),
-    follows: (engine) => orders.follows(engine)
-  }, { firstEventMs: steps.first_event, silenceMs: steps.silence }))
-  const orders: EngineOrders = disposables.add(new EngineOrders({
+    assignedModel: (engine) => orders.assignedModel(engine)
+  }, { firstEventTimeoutMs: steps.first_event, silenceTimeoutMs: steps.silence }))
+  const orders: WeightLoadController = disposables.add(new WeightLoadController({
     ...running,
     machine,
     demands: () => home.demands(),
-    onReady: () => { home.schedule() }
+    onEngineAvailable: () => { home.schedule() }
   }))
   disposables.add(new EndsCleaner({ held: guards.held, appender, duty, clock, stateLog }))
   disposables.add(new StepCleaner({ topic, appender, contents, duty, clock, stateLog }, steps.status))
-  const desk = new StepDesk({ topic, appender, contents, clock, metrics, stateLog }, { acceptMs: steps.accept, endMs: steps.end, longestWaitMs: store.long_poll, submissionCharacters: callCharacters })
+  const desk = new StepRequestHandler({ topic, appender, contents, clock, metrics, stateLog }, { acceptTimeoutMs: steps.accept, endTimeoutMs: steps.end, maxWaitMs: store.long_poll, maxSubmissionCharacters: callCharacters })
   return { duty, home, desk, backlog: () => appender.backlog + contentsAppender.backlog }
 }
 
 function createContents ({ settings, ownAddress, services }: HostBase, { peers, handlers, membership }: OtherHosts, kept: Pick<ConstructorParameters<typeof StepContents>[0], 'log' | 'appender'>): StepContents {
   const placeOf = (address: string): string | undefined => membership.members().find((member) => member.address === address)?.place
-  const holders = new ContentHolders({ peers, metrics: services.metrics, placeOf }, { address: ownAddress, place: settings.host.place })
-  const contents = new StepContents({ ...services, ...kept, holders })
-  serveContents(handlers, contents)
+  const holders = new PeerContentReader({ peers, metrics: services.metrics, failureDomainOf: placeOf }, { address: ownAddress, place: settings.host.place })
+  const contents = new StepContents({ ...services, ...kept, peerContent: holders })
+  registerContentHandlers(handlers, contents)
   return contents
 }
 
-function createDuty ({ settings, host, machine, services, disposables }: HostBase, { membership, standing }: OtherHosts, { topic, stepLog }: FollowedTopics): DutyKeeper {
+function createDuty ({ settings, host, machine, services, disposables }: HostBase, { membership, standing }: OtherHosts, { topic, stepLog }: FollowedTopics): DutyLeaseManager {
   const { renew, lease, rest, doubt } = settings.duty
-  return disposables.add(new DutyKeeper({
+  return disposables.add(new DutyLeaseManager({
     ...services,
     source: topic,
     log: stepLog,
     doubt: (holder) => { membership.probeNow(asHostId(holder)) },
     isLost: (holder) => isLost(membership.members(), holder),
-    standing: () => standing.now
-  }, { duty: STEPS_DUTY, machine, holder: host, renewMs: renew, leaseMs: lease, restMs: rest, doubtMs: doubt }))
+    candidacy: () => standing.current
+  }, { duty: STEPS_DUTY, machine, holder: host, renewIntervalMs: renew, leaseDurationMs: lease, takeoverDelayMs: rest, probeAfterMs: doubt }))
 }
 
 /** Whether a host does not answer, or its machine runs a later life of it. */
--- a/src/host/node/routed/hostUsage.ts
+++ b/src/host/node/routed/hostUsage.ts
@@ -1,6 +1,6 @@
 /** What a host does for usage reports: counts for itself, and reports for all while it holds the duty. */
 
-import type { DutyKeeper } from '../../../actors/common/duties/dutyKeeper.ts'
+import type { DutyLeaseManager } from '../../../actors/common/duties/dutyLeaseManager.ts'
 import { UsageMeter } from '../../../actors/common/usage/usageMeter.ts'
 import { UsageReporter } from '../../../actors/common/usage/usageReporter.ts'
 import { Connections } from '../../../adapters/node/connections.ts'
@@ -19,7 +19,7 @@
 export interface HostUsage {
   readonly meter: UsageMeter
   /** Begins to report whenever this host holds the duty. */
-  reportWith (duty: DutyKeeper): UsageReporter
+  reportWith (duty: DutyLeaseManager): UsageReporter
 }
 
 /** Absent where the settings name no interface for reports. */
@@ -28,7 +28,7 @@
   if (usage === undefined) return undefined
   const log = links.keyedLog(usage.topic)
   const times = timesOf(usage)
-  const meter = disposables.add(new UsageMeter({ ...services, log, host, hosts: () => standing.now.hosts }, times))
+  const meter = disposables.add(new UsageMeter({ ...services, log, host, hosts: () => standing.current.hosts }, times))
   return {
     meter,
     reportWith: (duty) => {
--- a/src/host/node/routed/otherHosts.ts
+++ b/src/host/node/routed/otherHosts.ts
@@ -1,6 +1,6 @@
 /** How a host reaches the other hosts, which of them it knows, and what it is among them. */
 
-import { DutyStanding } from '../../../actors/common/duties/dutyStanding.ts'
+import { DutyCandidacy } from '../../../actors/common/duties/dutyCandidacy.ts'
 import { Membership } from '../../../actors/common/membership/membership.ts'
 import { Connections } from '../../../adapters/node/connections.ts'
 import { JsonRpcHandlers, JsonRpcPeers } from '../../../adapters/node/jsonRpcPeers.ts'
@@ -17,7 +17,7 @@
   readonly peers: JsonRpcPeers
   readonly handlers: JsonRpcHandlers
   readonly membership: Membership
-  readonly standing: DutyStanding
+  readonly standing: DutyCandidacy
 }
 
 export function createOtherHosts ({ settings, host, ownAddress, processor, services, disposables }: HostBase): OtherHosts {
@@ -34,6 +34,6 @@
     forgetMs: known.forget,
     fullExchangeIntervalMs: known.full_exchange
   }, { host, address: ownAddress, place: asPlace(settings.host.place), processor }))
-  const standing = new DutyStanding({ ...services, membership }, { duty: STEPS_DUTY, host, processor: mechanisms.small_host_delay ? processor : undefined })
+  const standing = new DutyCandidacy({ ...services, membership }, { duty: STEPS_DUTY, host, processor: mechanisms.small_host_delay ? processor : undefined })
   return { peers, handlers, membership, standing }
 }
--- a/src/host/node/routedHost.ts
+++ b/src/host/node/routedHost.ts
@@ -52,7 +52,7 @@
 
 /** Starts a host; resolves once it listens. */
 export async function startRoutedHost (settings: RoutedSettings, readAgain: () => Result<HostSettings>): Promise<RoutedHost> {
-  const base = await createBase(settings, () => steps.home.underway)
+  const base = await createBase(settings, () => steps.home.activeItemCount)
   const { services, disposables } = base
   const { clock, metrics, stateLog } = services
   const others = createOtherHosts(base)
@@ -118,7 +118,7 @@
   const { clock, stateLog } = services
   const backlog = (): number => stepBacklog() + (usage?.meter.backlog ?? 0)
   const began = clock.monotonic()
-  stateLog.changed('stop begins', { requests: front.requests, items: home.underway, records: backlog() })
+  stateLog.changed('stop begins', { requests: front.requests, items: home.activeItemCount, records: backlog() })
   membership.leave()
   await Promise.all([pause(clock, limits.stop_serving), home.handOver().then(async () => { await duty.release() })])
   front.closeIdle()
--- a/test/actors/routes/workOfFormerLives.test.ts
+++ b/test/actors/routes/workOfFormerLives.test.ts
@@ -6,7 +6,7 @@
 import type { RouteCallServices } from '../../../src/actors/common/routes/routedRequest.ts'
 import { StreamCalls } from '../../../src/actors/common/routes/streamCalls.ts'
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
-import { EngineBoard } from '../../../src/actors/common/steps/engineBoard.ts'
+import { EngineRegistry } from '../../../src/actors/common/steps/engineRegistry.ts'
 import { runItem } from '../../../src/actors/common/steps/itemRun.ts'
 import { asIncarnation } from '../../../src/base/common/ids.ts'
 import type { Route } from '../../../src/core/common/routes/routeConfiguration.ts'
@@ -87,10 +87,10 @@
     expect([served.value, served.tookMs, text.match(/d\d|end|cut/g), stream.asked]).to.deep.equal([undefined, RESTART_MS + 15, ['d0', 'd1', 'd2', 'end'], ['a', 'b']])
 
     const run = new Scene({ a: [{ afterMs: 5, headers: { 'bulrushvalve-request-id': 'i', 'bulrushvalve-response-seal': 's', 'bulrushvalve-weight-versions': '3' }, events: [event(0), event(1), pause] }] })
-    const [engine] = new EngineBoard(run.table, run.clock, () => new RouteTable({ version: 1, routes: [], services: [{ name: 's', maximumConnections: 9, engine: { slots: 4, models: ['m'] } }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })).all()
+    const [engine] = new EngineRegistry(run.table, run.clock, () => new RouteTable({ version: 1, routes: [], services: [{ name: 's', maximumConnections: 9, engine: { slots: 4, models: ['m'] } }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })).all()
     if (engine === undefined) throw new Error('no engine')
     const held = newText()
-    const ended = await run.timed(runItem(run.services, engine, item('i', 'g'), held, { workspace: undefined, host: 'h', model: 'm', minimumVersion: 1, payload: item('i', 'g'), firstEventMs: 1000, silenceMs: 500, cancelled: new AbortController().signal, onBegin: () => undefined }))
+    const ended = await run.timed(runItem(run.services, engine, item('i', 'g'), held, { workspace: undefined, host: 'h', model: 'm', minimumVersion: 1, payload: item('i', 'g'), firstEventTimeoutMs: 1000, silenceTimeoutMs: 500, cancelled: new AbortController().signal, onFirstEvent: () => undefined }))
     expect([ended.value, ended.tookMs, held.text, [...held.versions]]).to.deep.equal([{ type: 'restarted' }, RESTART_MS, 'd0\nd1', [3]])
   })
 })
--- a/test/actors/steps/contentsLoad.test.ts
+++ b/test/actors/steps/contentsLoad.test.ts
@@ -1,4 +1,4 @@
-/** What reading the texts of steps costs a store that many hosts share, replayed as it was seen. */
+/** Load that reading the texts of steps puts on a store shared by many hosts. */
 
 import { expect } from 'chai'
 import { GroupAppender } from '../../../src/actors/common/store/groupAppender.ts'
@@ -10,23 +10,23 @@
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
 const HOSTS = 84
-/** Bytes that the store gives to all its readers in a millisecond. */
+/** Total read throughput of the store. */
 const STORE_BYTES_PER_MS = 80_000
-/** Texts and their size as they were listed on that site: some 1 MB a second. */
+/** Number and size of the texts that are listed: some 1 MB a second. */
 const TEXTS_EACH_100_MS = 8
 const TEXT_CHARACTERS = 13_000
 const SECONDS = 8
 
-/** A store whose readers share one link: an answer waits for those before it. */
+/** A store whose readers share one link, so that each response waits for the earlier ones. */
 class SharedStore {
   readonly log = new MemoryKeyedLog()
   bytes = 0
-  private freeAt = 0
+  private linkFreeAt = 0
 
   constructor (private readonly clock: ManualClock) {}
 
-  get behindMs (): number {
-    return Math.max(0, this.freeAt - this.clock.now)
+  get backlogMs (): number {
+    return Math.max(0, this.linkFreeAt - this.clock.now)
   }
 
   reader (): KeyedLog {
@@ -35,27 +35,27 @@
       read: async (from, waitMs) => {
         if (from >= this.log.entries.length && waitMs > 0) await this.pause(waitMs)
         const page = await this.log.read(from)
-        if (page.ok && page.value.type === 'entries') await this.give(page.value.entries)
+        if (page.ok && page.value.type === 'entries') await this.deliver(page.value.entries)
         return page
       },
       readSome: async (from, kilobytes) => {
         const page = await this.log.readSome(from, kilobytes)
-        if (page.ok && page.value.type === 'entries') await this.give(page.value.entries)
+        if (page.ok && page.value.type === 'entries') await this.deliver(page.value.entries)
         return page
       },
       newest: async (after) => {
         const page = await this.log.newest(after)
-        if (page.ok) await this.give(page.value.entries)
+        if (page.ok) await this.deliver(page.value.entries)
         return page
       }
     }
   }
 
-  private async give (entries: readonly KeyedEntry[]): Promise<void> {
+  private async deliver (entries: readonly KeyedEntry[]): Promise<void> {
     const size = entries.reduce((sum, { key, value }) => sum + key.length + (value?.length ?? 0), 0)
     this.bytes += size
-    this.freeAt = Math.max(this.freeAt, this.clock.now) + size / STORE_BYTES_PER_MS
-    await this.pause(this.freeAt - this.clock.now)
+    this.linkFreeAt = Math.max(this.linkFreeAt, this.clock.now) + size / STORE_BYTES_PER_MS
+    await this.pause(this.linkFreeAt - this.clock.now)
   }
 
   private async pause (milliseconds: number): Promise<void> {
@@ -63,24 +63,23 @@
   }
 }
 
-describe('texts of steps on a site of many hosts', function () {
+describe('texts of steps in a deployment of many hosts', function () {
   this.timeout(60_000)
 
-  it('cost the store what is asked for, not that times the hosts', async () => {
-    // On a day of 84 hosts after which two accepted steps could not be read the store was at its limit. Every host followed
-    // the topic of all texts, so that each text was read 84 times and most were never asked for: from the third second on
-    // the hosts together took in 56 to 110 MB a second, and a store gives 80. Whatever is asked for waits behind that,
-    // runs into its time limit, is asked for again, and so makes the queue longer.
+  it('are read from the store only when requested, not by every host', async () => {
+    // Guards against overload of the store, after which accepted steps could not be read. When each of 84 hosts followed
+    // the topic of all texts, each text was read 84 times: the hosts read 56 to 110 MB a second from the third second on,
+    // from a store that delivers 80. Requested reads queued behind that, timed out and were repeated, which lengthened the queue.
     const clock = new ManualClock()
     const store = new SharedStore(clock)
     const contents = Array.from({ length: HOSTS }, (_, index) => {
       let drawn = 0
       const id = (): string => `${index}-${drawn++}`
       const services = { log: store.reader(), clock, chance: { id, next: () => 0.5 }, metrics: quietMetrics, stateLog: quietLog }
-      return new StepContents({ ...services, holders: noHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
+      return new StepContents({ ...services, peerContent: noHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
     })
     const [writer, reader] = [contents[0], contents[1]]
-    if (writer === undefined || reader === undefined) throw new Error('there are hosts')
+    if (writer === undefined || reader === undefined) throw new Error('no hosts')
     await clock.advance(100)
     const text = 'x'.repeat(TEXT_CHARACTERS)
     const written: Awaited<ReturnType<StepContents['saveText']>>[] = []
@@ -101,7 +100,7 @@
     await clock.advance(1500)
     const megabytes = { written: written.length * TEXT_CHARACTERS / 1e6, read: store.bytes / 1e6 }
     expect(megabytes.read, `MB read of ${megabytes.written.toFixed(1)} MB written`).to.be.lessThan(megabytes.written)
-    expect(store.behindMs, 'milliseconds that the store is behind').to.equal(0)
+    expect(store.backlogMs, 'backlog of the store in milliseconds').to.equal(0)
     expect(took, 'milliseconds until ten texts are read').to.be.lessThan(300)
   })
 })
--- a/test/actors/steps/headStarts.test.ts
+++ b/test/actors/steps/headStarts.test.ts
@@ -1,9 +1,9 @@
-/** Runs of items for a step to come: when they begin, and what that step gets of them. */
+/** Head starts, which run items for a later step: when they start, and which text that step receives. */
 
 import { expect } from 'chai'
 import { allMechanisms } from '../../../src/core/common/mechanisms.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { EngineBoard } from '../../../src/actors/common/steps/engineBoard.ts'
+import { EngineRegistry } from '../../../src/actors/common/steps/engineRegistry.ts'
 import { HeadStarts } from '../../../src/actors/common/steps/headStarts.ts'
 import { ItemPlacement } from '../../../src/actors/common/steps/itemPlacement.ts'
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
@@ -22,12 +22,12 @@
 import { newText, workOn } from '../../support/texts.ts'
 import { watchEnds } from '../../support/targetEnds.ts'
 
-const own = { 'bulrushvalve-request-id': 'long', 'bulrushvalve-response-seal': 's', 'bulrushvalve-weight-versions': '5' }
+const responseHeaders = { 'bulrushvalve-request-id': 'long', 'bulrushvalve-response-seal': 's', 'bulrushvalve-weight-versions': '5' }
 const event = (id: number): string => `id: ${id}\ndata: d${id}\n\n`
 const events = (count: number) => Array.from({ length: count }, (_, index) => ({ afterMs: 10, raw: event(index) }))
 
-/** A host with a step of two groups, of which its trainer waits for one; the item `long` needs the longest. */
-class Scene {
+/** A host with a step of two groups, one of which the trainer waits for; `long` is the longest item. */
+class HeadStartFixture {
   readonly clock = new ManualClock()
   readonly log = new RecordedLog()
   readonly client: ScriptedClient
@@ -35,10 +35,10 @@
   readonly work: StepWork
   readonly route: Route = route({ kind: 'steps', host: 'steps.example', pathPrefix: '/steps/', destinations: [{ service: 'engines', weight: 1 }] })
 
-  /** Steps that are open. */
+  /** Open steps. */
   readonly steps: FoldedStep[]
 
-  /** @param otherVersion version of the model `n` at an engine of its own, which there is none of without it */
+  /** @param otherVersion version of model `n` on an additional engine; 0 for no such engine */
   constructor (answers: readonly ScriptedAnswer[], { version = 5, slots = 12, otherVersion = 0 } = {}) {
     const { clock } = this
     const table = new TargetTable({ clock, stateLog: this.log })
@@ -48,111 +48,111 @@
     this.client = new ScriptedClient(clock, { e: answers, f: answers })
     const lengths = new ItemLengthEstimator()
     lengths.recordItem(100, 10, 400)
-    const board = new EngineBoard(table, clock, () => routes)
-    this.starts = new HeadStarts({ client: this.client, ends: watchEnds(table, this.client, clock), gate: { isFree: () => true }, protocol: targetProtocol, clock, metrics: quietMetrics, stateLog: this.log, placement: new ItemPlacement({ board, follows: (engine) => engine === 'f' ? 'n' : 'm', mechanisms: allMechanisms }), newText, lengths, topic: { steps: () => this.steps }, routeOf: () => this.route, mechanisms: allMechanisms }, { firstEventMs: 600, silenceMs: 500 })
+    const board = new EngineRegistry(table, clock, () => routes)
+    this.starts = new HeadStarts({ client: this.client, ends: watchEnds(table, this.client, clock), gate: { isUnrestricted: () => true }, protocol: targetProtocol, clock, metrics: quietMetrics, stateLog: this.log, placement: new ItemPlacement({ board, assignedModel: (engine) => engine === 'f' ? 'n' : 'm', mechanisms: allMechanisms }), createText: newText, lengths, topic: { steps: () => this.steps }, routeOf: () => this.route, mechanisms: allMechanisms }, { firstEventTimeoutMs: 600, silenceTimeoutMs: 500 })
     this.work = workOn('now', [item('short', 'a', 100), item('long', 'b', 900)], { wantedGroups: 1, minimumVersion: 3 })
     this.work.waiting.length = 0
-    // A second step is open, so that what the first leaves over comes in the one after that, which may use version 5.
+    // A second step is open, so that the items left over from the first come in the step after that, which accepts version 5.
     this.steps = [this.work.step, workOn('next', [item('other', 'c', 100)], { minimumVersion: 4 }).step]
   }
 
-  look (): void {
-    this.starts.look([this.work])
-    this.starts.begin(this.work.waiting.length > 0)
+  replan (): void {
+    this.starts.replan([this.work])
+    this.starts.startPlanned(this.work.waiting.length > 0)
   }
 
-  /** What a later step gets of an item. */
-  take (id = 'long') {
-    return this.starts.take(workOn('later', [item(id, 'b', 900)], { minimumVersion: 5 }), id)
+  /** Returns the text that a later step receives for an item. */
+  consume (id = 'long') {
+    return this.starts.consume(workOn('later', [item(id, 'b', 900)], { minimumVersion: 5 }), id)
   }
 }
 
 describe('head starts of items', () => {
-  it('hand over what they came to when a later step asks for the item, and end', async () => {
-    const scene = new Scene([{ afterMs: 5, headers: own, events: events(50) }])
-    scene.look()
+  it('pass on the generated text and end when a later step requests the item', async () => {
+    const scene = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(50) }])
+    scene.replan()
     await scene.clock.advance(125)
-    scene.look()
+    scene.replan()
     expect(scene.client.sent.map(({ path }) => path)).to.deep.equal(['/items/long'])
-    expect(scene.take()).to.deep.equal({ events: Array.from({ length: 12 }, (_, index) => `d${index}`), last: 11, versions: [5] })
+    expect(scene.consume()).to.deep.equal({ events: Array.from({ length: 12 }, (_, index) => `d${index}`), last: 11, versions: [5] })
     expect(scene.client.sent[0]?.cancelledAt).to.equal(scene.clock.now)
-    expect(scene.take()).to.equal(undefined)
+    expect(scene.consume()).to.equal(undefined)
   })
 
-  it('leave the last event to the later step, as only the end of its stream tells that a text is whole', async () => {
-    const scene = new Scene([{ afterMs: 5, headers: own, events: events(3) }])
-    scene.look()
+  it('leave the last event to the later step, as only the end of a stream shows that a text is complete', async () => {
+    const scene = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(3) }])
+    scene.replan()
     await scene.clock.advance(200)
-    scene.look()
+    scene.replan()
     expect(scene.client.sent).to.have.length(1)
-    expect(scene.take()).to.deep.equal({ events: ['d0', 'd1'], last: 1, versions: [5] })
+    expect(scene.consume()).to.deep.equal({ events: ['d0', 'd1'], last: 1, versions: [5] })
   })
 
-  it('go on after a break, and not after a failure that is the item\'s', async () => {
-    const broken = new Scene([{ afterMs: 5, headers: own, events: events(2), breaks: true }, { afterMs: 5, headers: own, events: [{ afterMs: 10, raw: event(2) }] }])
-    broken.look()
+  it('resume after a broken stream, but not after a failure of the item', async () => {
+    const broken = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(2), breaks: true }, { afterMs: 5, headers: responseHeaders, events: [{ afterMs: 10, raw: event(2) }] }])
+    broken.replan()
     await broken.clock.advance(700)
-    broken.look()
+    broken.replan()
     await broken.clock.advance(100)
     expect(broken.client.sent.map(({ headers }) => headers.includes('1'))).to.deep.equal([false, true])
-    expect(broken.take()?.events).to.deep.equal(['d0', 'd1'])
-    const failing = new Scene([{ afterMs: 5, status: 500, headers: own }])
+    expect(broken.consume()?.events).to.deep.equal(['d0', 'd1'])
+    const failing = new HeadStartFixture([{ afterMs: 5, status: 500, headers: responseHeaders }])
     for (let look = 0; look < 5; look++) {
-      failing.look()
+      failing.replan()
       await failing.clock.advance(1000)
     }
     expect(failing.client.sent).to.have.length(1)
   })
 
-  it('do not begin on the slots of a small service while an item waits, at engines whose weights are too old, beyond their share of slots, or before anything is known of lengths', async () => {
-    const waiting = new Scene([{ afterMs: 5, headers: own, events: events(9) }], { slots: 11 })
+  it('do not start on a small service while an item waits, on engines with weights that are too old, or beyond their share of slots', async () => {
+    const waiting = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(9) }], { slots: 11 })
     const [first] = waiting.work.items.values()
     if (first !== undefined) waiting.work.waiting.push(first)
-    const old = new Scene([{ afterMs: 5, headers: own, events: events(9) }], { version: 4 })
-    const small = new Scene([{ afterMs: 5, headers: own, events: events(9) }], { slots: 0 })
+    const old = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(9) }], { version: 4 })
+    const small = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(9) }], { slots: 0 })
     for (const scene of [waiting, old, small]) {
-      scene.look()
+      scene.replan()
       await scene.clock.advance(100)
       expect(scene.client.sent).to.deep.equal([])
     }
   })
 
-  it('of one model do not wait for the engines of another, nor take up its share of slots', async () => {
-    // Two trainers share the engines of a service. While those of the first had older weights, none of the second's
-    // items got a head start; and those of the first that ran left the second without a share.
-    const scene = new Scene([{ afterMs: 5, headers: own, events: events(50) }], { otherVersion: 9 })
+  it('of one model neither wait for the engines of another model nor use its share of slots', async () => {
+    // Guards against two trainers that share the engines of a service blocking each other. While the first trainer's engines
+    // had older weights, the second one's items got no head starts, and running head starts of the first used up the share of both.
+    const scene = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(50) }], { otherVersion: 9 })
     const other = workOn('other', [item('brief', 'a', 100), item('lasting', 'b', 900)], { wantedGroups: 1, minimumVersion: 7, model: 'n' })
     other.waiting.length = 0
     const ahead = workOn('ahead', [item('third', 'c', 100)], { minimumVersion: 8, model: 'n' })
     scene.steps.push(other.step, ahead.step)
-    scene.starts.look([scene.work, other])
-    scene.starts.begin(false)
+    scene.starts.replan([scene.work, other])
+    scene.starts.startPlanned(false)
     await scene.clock.advance(50)
     expect(scene.client.sent.map(({ address, path }) => `${address} ${path}`)).to.deep.equal(['e /items/long', 'f /items/lasting'])
-    const old = new Scene([{ afterMs: 5, headers: own, events: events(50) }], { version: 4, otherVersion: 9 })
+    const old = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(50) }], { version: 4, otherVersion: 9 })
     old.steps.push(other.step, ahead.step)
-    old.starts.look([old.work, other])
-    old.starts.begin(false)
+    old.starts.replan([old.work, other])
+    old.starts.startPlanned(false)
     await old.clock.advance(50)
     expect(old.client.sent.map(({ path }) => path)).to.deep.equal(['/items/lasting'])
   })
 
-  it('end once their group is whole, or some seconds after their step has ended', async () => {
-    const whole = new Scene([{ afterMs: 5, headers: own, events: events(50) }])
-    whole.look()
+  it('end when their group is complete or their retention time after the end of the step is over', async () => {
+    const whole = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(50) }])
+    whole.replan()
     await whole.clock.advance(50)
     ;(whole.work.step.positions as Map<string, number>).set('long', 0)
-    whole.look()
-    expect(whole.take()).to.equal(undefined)
-    const ended = new Scene([{ afterMs: 5, headers: own, events: events(900) }])
-    ended.look()
+    whole.replan()
+    expect(whole.consume()).to.equal(undefined)
+    const ended = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(900) }])
+    ended.replan()
     await ended.clock.advance(50)
-    ended.starts.look([])
+    ended.starts.replan([])
     await ended.clock.advance(4000)
-    ended.starts.look([])
+    ended.starts.replan([])
     expect(ended.client.sent[0]?.cancelledAt).to.equal(undefined)
     await ended.clock.advance(1100)
-    ended.starts.look([])
+    ended.starts.replan([])
     expect(ended.client.sent[0]?.cancelledAt).to.equal(ended.clock.now)
   })
 })
--- a/test/actors/steps/itemGate.test.ts
+++ b/test/actors/steps/itemGate.test.ts
@@ -1,11 +1,11 @@
-/** Which items may start while engines end under some of them. */
+/** Which items may start while engines terminate during the runs of some of them. */
 
 import { expect } from 'chai'
 import type { Admission } from '../../../src/actors/common/routes/heldRequests.ts'
 import { ItemGate } from '../../../src/actors/common/steps/itemGate.ts'
-import type { RunEnd } from '../../../src/actors/common/steps/itemRun.ts'
+import type { RunOutcome } from '../../../src/actors/common/steps/itemRun.ts'
 import type { ItemWork } from '../../../src/actors/common/steps/stepWork.ts'
-import { newWork } from '../../../src/actors/common/steps/stepWork.ts'
+import { newItemWork } from '../../../src/actors/common/steps/stepWork.ts'
 import type { HoldState } from '../../../src/core/common/routes/heldRequestFold.ts'
 import { ManualClock, settle } from '../../support/manualClock.ts'
 import { route } from '../../support/routes.ts'
@@ -15,7 +15,7 @@
 const payload = item('i', 'g')
 const held: HoldState = { type: 'held', ends: 2, trials: 0, trialUnderWay: false, nextTrialInMs: 0 }
 
-class Scene {
+class GateFixture {
   readonly clock = new ManualClock()
   standing: HoldState = held
   admission: Admission | undefined
@@ -23,7 +23,7 @@
   admitted = 0
   answered = 0
   withdrawn = 0
-  readonly work: ItemWork = newWork({ item: item('i', 'g'), rank: 'wanted' }, newText(), 0)
+  readonly work: ItemWork = newItemWork({ item: item('i', 'g'), rank: 'wanted' }, newText(), 0)
   readonly gate = new ItemGate({
     held: {
       standing: () => this.standing,
@@ -41,14 +41,14 @@
     return this.gate.mayStart('h', route(), this.work, payload)
   }
 
-  end (type: RunEnd['type']): void {
-    this.gate.runEnded('h', this.work, payload, type === 'broken' ? { type, why: '' } : { type })
+  end (type: RunOutcome['type']): void {
+    this.gate.handleRunEnd('h', this.work, payload, type === 'broken' ? { type, why: '' } : { type })
   }
 }
 
-describe('the gate of items', () => {
-  it('lets items start under which no or one engine ended', () => {
-    const scene = new Scene()
+describe('ItemGate', () => {
+  it('starts items during which at most one engine terminated', () => {
+    const scene = new GateFixture()
     for (const standing of [{ type: 'free' }, { type: 'watched', ends: 1 }] as const) {
       scene.standing = standing
       expect(scene.mayStart(), standing.type).to.equal(true)
@@ -56,15 +56,15 @@
     expect(scene.asked).to.equal(0)
   })
 
-  it('keeps a held item back until it has a trial, and asks for one at a time', async () => {
-    const scene = new Scene()
+  it('holds an item back until it is granted a trial, and requests one trial at a time', async () => {
+    const scene = new GateFixture()
     expect([scene.mayStart(), scene.mayStart(), scene.asked]).to.deep.equal([false, false, 1])
     await settle()
     expect([scene.admitted, scene.mayStart(), scene.asked]).to.deep.equal([1, true, 1])
   })
 
-  it('asks again later where there is no trial now', async () => {
-    const scene = new Scene()
+  it('requests a trial again later if none is granted', async () => {
+    const scene = new GateFixture()
     scene.admission = { type: 'held', retryAfterMs: 4000 }
     expect(scene.mayStart()).to.equal(false)
     await scene.clock.advance(400)
@@ -83,24 +83,24 @@
     { type: 'moved', withdrawn: 1, answered: 0 },
     { type: 'too-old', withdrawn: 1, answered: 0 }
   ] as const) {
-    it(`takes a trial that ended as ${type} for ${withdrawn > 0 ? 'none' : 'used'}${answered > 0 ? ', and the item for cleared' : ''}`, async () => {
-      const scene = new Scene()
+    it(`treats a trial that ended as ${type} as ${withdrawn > 0 ? 'withdrawn' : 'used'}${answered > 0 ? ', and the item as cleared' : ''}`, async () => {
+      const scene = new GateFixture()
       scene.mayStart()
       await settle()
       scene.end(type)
       expect([scene.withdrawn, scene.answered]).to.deep.equal([withdrawn, answered])
-      // Its next run wants a trial of its own.
+      // The next run needs its own trial.
       expect([scene.mayStart(), scene.asked]).to.deep.equal([false, 2])
     })
   }
 
-  it('gives a trial back whose item is dropped, before the run or in it', async () => {
-    const before = new Scene()
+  it('withdraws the trial of an item that is cancelled before or during the run', async () => {
+    const before = new GateFixture()
     before.mayStart()
     before.work.cancel.abort()
     await settle()
     expect([before.withdrawn, before.admitted]).to.deep.equal([1, 0])
-    const within = new Scene()
+    const within = new GateFixture()
     within.mayStart()
     await settle()
     within.work.cancel.abort()
--- a/test/actors/steps/progressKeeper.test.ts
+++ b/test/actors/steps/progressStore.test.ts
@@ -1,8 +1,8 @@
-/** Progress of running items against a history that refuses what is too long for it, as stores do. */
+/** Progress of running items with a history that rejects records over its size limit, as stores do. */
 
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { ProgressKeeper } from '../../../src/actors/common/steps/progressKeeper.ts'
+import { ProgressStore } from '../../../src/actors/common/steps/progressStore.ts'
 import { asTextId } from '../../../src/base/common/ids.ts'
 import { failure, success } from '../../../src/base/common/resultCode.ts'
 import type { ProgressPart } from '../../../src/core/common/steps/progress.ts'
@@ -38,28 +38,27 @@
 
 describe('saved progress', () => {
   const part = (item: string, count: number, size: number, from = 0): ProgressPart => ({ step: 's', item, text: asTextId(`text of ${item}`), from, events: Array.from({ length: count }, (_, index) => `${from + index}:`.padEnd(size, 'é')), last: 100 + from + count - 1, versions: [1] })
-  const keeperOf = (history: History) => new ProgressKeeper({ history, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { periodMs: 400, recordBytes: RECORD_BYTES, inUse: true })
+  const createStore = (history: History) => new ProgressStore({ history, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })
 
-  it('fits the records of the store, however much runs at once', async () => {
-    // Symptom: a host that took the steps over began items anew that had run for seconds. With 190 items
-    // under way one record of all progress was longer than the store takes; it refused each save, and
-    // each next one was longer still.
+  it('fits into the records of the store, however many items run at once', async () => {
+    // Guards against a host that takes over the steps and starts items from the beginning that had run for seconds. With 190
+    // running items, a single record of all progress exceeded the store's limit. Each save was rejected, and the next was longer.
     const history = new BoundedHistory()
-    const keeper = keeperOf(history)
+    const store = createStore(history)
     const parts = Array.from({ length: 40 }, (_, index) => part(`i${index}`, 9, 60))
-    expect(await keeper.save(parts)).to.equal(true)
+    expect(await store.save(parts)).to.equal(true)
     expect(history.refused).to.equal(0)
-    const saved = await keeper.load()
+    const saved = await store.load()
     for (const { item, events, last } of parts) expect(saved.get(progressKey('s', item))).to.deep.equal({ events, last, versions: [1] })
   })
 
-  it('is whole or a beginning of each text, for any sizes', async () => {
+  it('is complete or a prefix of each text, for any sizes', async () => {
     await fc.assert(fc.asyncProperty(fc.array(fc.record({ count: fc.integer({ min: 1, max: 30 }), size: fc.integer({ min: 5, max: 900 }) }), { minLength: 1, maxLength: 12 }), async (shapes) => {
       const history = new BoundedHistory()
-      const keeper = keeperOf(history)
+      const store = createStore(history)
       const parts = shapes.map(({ count, size }, index) => part(`i${index}`, count, size))
-      await keeper.save(parts)
-      const saved = await keeper.load()
+      await store.save(parts)
+      const saved = await store.load()
       for (const { item, events } of parts) {
         const found = saved.get(progressKey('s', item))
         expect(found?.events ?? []).to.deep.equal(events.slice(0, found?.events.length ?? 0))
@@ -69,28 +68,27 @@
     }), { numRuns: 60, seed: 7 })
   })
 
-  it('is kept for as long as an item runs, and no longer', async () => {
-    // Symptom: a host that took the steps over stood still for half a second. It read the progress of
-    // everything that had run since the day began.
+  it('is retained for as long as an item runs, and no longer', async () => {
+    // Guards against a host that blocks for half a second on takeover because it reads the progress of all items that ran
+    // since the start of the deployment.
     const history = new BoundedHistory()
     const clock = new ManualClock()
-    const keeper = new ProgressKeeper({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { periodMs: 400, recordBytes: RECORD_BYTES, inUse: true })
+    const store = new ProgressStore({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })
     for (let second = 0; second < 60; second++) {
-      await keeper.save([part(`i${second}`, 3, 20)])
+      await store.save([part(`i${second}`, 3, 20)])
       await clock.advance(1000)
     }
-    const saved = [...(await keeper.load()).keys()].map((key) => Number(key.slice('s/i'.length)))
+    const saved = [...(await store.load()).keys()].map((key) => Number(key.slice('s/i'.length)))
     expect(Math.max(...saved)).to.equal(59)
     expect(Math.min(...saved)).to.be.within(39, 46)
   })
 
-  it('outlives a former holder that saves once more', async () => {
-    // Symptom: after a takeover all items began anew. The holder before had stood still for long and then
-    // saved once; all its earlier saves were old, so it removed what stood before this one, which was
-    // what its successor had saved meanwhile.
+  it('is not trimmed by a former holder that saves once more', async () => {
+    // Guards against all items starting over after a takeover. A former holder was suspended for long and then saved once.
+    // As all its earlier saves had expired, it trimmed everything before this save, including its successor's saves.
     const history = new BoundedHistory()
     const clock = new ManualClock()
-    const [former, successor] = [0, 1].map(() => new ProgressKeeper({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { periodMs: 400, recordBytes: RECORD_BYTES, inUse: true })) as [ProgressKeeper, ProgressKeeper]
+    const [former, successor] = [0, 1].map(() => new ProgressStore({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })) as [ProgressStore, ProgressStore]
     await former.save([part('old', 2, 10)])
     await clock.advance(20_000)
     await successor.save([part('i', 2, 10)])
@@ -100,12 +98,12 @@
     expect((await successor.load()).get(progressKey('s', 'i'))?.events).to.have.length(2)
   })
 
-  it('leaves out an event that no record can hold, and what follows it', async () => {
+  it('omits an event that exceeds the record size, and all later events', async () => {
     const history = new BoundedHistory()
-    const keeper = keeperOf(history)
+    const store = createStore(history)
     const long = { ...part('i', 3, 10), events: ['a', 'x'.repeat(2 * RECORD_BYTES), 'c'] }
-    expect(await keeper.save([long, part('j', 2, 10)])).to.equal(true)
-    const saved = await keeper.load()
+    expect(await store.save([long, part('j', 2, 10)])).to.equal(true)
+    const saved = await store.load()
     expect(saved.get(progressKey('s', 'i'))).to.deep.equal({ events: ['a'], last: 100, versions: [1] })
     expect(saved.get(progressKey('s', 'j'))?.events).to.have.length(2)
   })
--- a/test/actors/steps/resultNotes.test.ts
+++ b/test/actors/steps/resultLogging.test.ts
@@ -1,7 +1,7 @@
-/** Lines about where results stand. */
+/** Log lines about the positions of results. */
 
 import { expect } from 'chai'
-import { noteResults } from '../../../src/actors/common/steps/resultNotes.ts'
+import { logResults } from '../../../src/actors/common/steps/resultLogging.ts'
 import { StepTopic } from '../../../src/actors/common/store/stepTopic.ts'
 import { toDisposable } from '../../../src/base/common/lifecycle.ts'
 import { resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
@@ -15,9 +15,9 @@
 
 const result = (id: string, nonce: string) => resultRecord('s', { item: id, state: 'complete', versions: [1], score: undefined, textKey: undefined }, nonce)
 
-describe('where results stand', () => {
-  // In an incident a step could not be read after all hosts had started again. No line told where a result
-  // stood, nor whether a host that read the topic anew found the results in another order than before.
+describe('the position of results', () => {
+  // Guards against missing diagnostics: a step could not be read after all hosts had restarted, and no log line gave the
+  // position of a result or showed whether a host that reloaded the topic found the results in another order than before.
   let clock: ManualClock
   let store: MemoryKeyedLog
   let log: RecordedLog
@@ -46,9 +46,9 @@
   })
   afterEach(() => { topic.dispose() })
 
-  it('is told by the holder of the duty for each result, and by nobody else', async () => {
+  it('is logged for each result by the holder of the duty, and by no other host', async () => {
     const duty = { holds: false, term: 4 }
-    const notes = noteResults({ topic, duty, clock, metrics: quietMetrics, stateLog: log, routes: () => undefined, phasesOf: () => undefined })
+    const notes = logResults({ topic, duty, clock, metrics: quietMetrics, stateLog: log, routes: () => undefined, phasesOf: () => undefined })
     store.write([result('a', '1')])
     await clock.advance(50)
     duty.holds = true
@@ -61,17 +61,17 @@
     ])
   })
 
-  it('comes with where the time of its item went, and once with what the trainer waited for', async () => {
-    // A step was late and no line told which item it had waited for, nor what that one had waited for: the
-    // store, a free slot, its engine or its scorer.
-    // The topic is read each 20 ms, and the clock began at 1,000,000.
+  it('is logged with the time spent in each phase, and once with the groups that the trainer waited for', async () => {
+    // Guards against missing diagnostics: a step was late, and no log line showed which item it had waited for, or whether
+    // that item had waited for the store, a free slot, its engine or its scorer.
+    // The topic is read every 20 ms, and the clock starts at 1,000,000.
     const tookMs = 1_000_060 - 1
     const spent: Record<string, PhaseTimes> = { a: { payloads: 30, waiting: 200, running: 900 }, b: { running: 40 } }
     const timings: [string, number][] = []
     const metrics = { ...quietMetrics, timing: (name: string, milliseconds: number) => { timings.push([name, milliseconds]) } }
     const route = { name: 'r', host: 'steps.example', pathPrefix: '/', kind: 'steps', destinations: [], timeoutMs: 1, objectiveMs: 1, priority: 0, attempts: 1, resumable: true, dueMs: 7500, retentionMs: 1, singleVersion: false, isPublic: false } as const
     const routes = new RouteTable({ version: 1, routes: [route], services: [], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
-    const notes = noteResults({ topic, duty: { holds: true, term: 4 }, clock, metrics, stateLog: log, routes: () => routes, phasesOf: (_, of) => spent[of] })
+    const notes = logResults({ topic, duty: { holds: true, term: 4 }, clock, metrics, stateLog: log, routes: () => routes, phasesOf: (_, of) => spent[of] })
     store.write([result('b', '1'), result('c', '1'), result('a', '1')])
     await clock.advance(50)
     notes.dispose()
@@ -80,7 +80,7 @@
     expect(timings).to.deep.equal([['steps.running', 40], ['steps.payloads', 30], ['steps.waiting', 200], ['steps.running', 900], ['steps.wanted', tookMs]])
   })
 
-  it('is told by a host that finds it otherwise when it reads the topic anew', async () => {
+  it('is logged by a host that finds it changed when it reloads the topic', async () => {
     store.write([result('a', '1'), result('b', '1')])
     await clock.advance(50)
     store.write([result('a', '1'), result('c', '1')])
@@ -92,7 +92,7 @@
     ])
   })
 
-  it('is not told by a host that finds it as it was', async () => {
+  it('is not logged by a host that finds it unchanged', async () => {
     store.write([result('a', '1'), result('b', '1')])
     await clock.advance(50)
     store.write([result('c', '1')])
--- a/test/actors/steps/sampleScorer.test.ts
+++ b/test/actors/steps/sampleScorer.test.ts
@@ -1,4 +1,4 @@
-/** Scoring of many samples at once by a service that callers use too. */
+/** Scoring of many samples at once by a service that interactive callers use too. */
 
 import { expect } from 'chai'
 import { allMechanisms } from '../../../src/core/common/mechanisms.ts'
@@ -15,9 +15,9 @@
 import { ScriptedClient } from '../../support/scriptedClient.ts'
 import { guards } from '../../support/targetEnds.ts'
 
-const sealed = (status = 200, afterMs = 100): ScriptedAnswer => ({ afterMs, status, headers: { 'bulrushvalve-response-seal': 'seal' } })
+const sealedResponse = (status = 200, afterMs = 100): ScriptedAnswer => ({ afterMs, status, headers: { 'bulrushvalve-response-seal': 'seal' } })
 
-function stage (script: Readonly<Record<string, readonly ScriptedAnswer[]>>): { clock: ManualClock, client: ScriptedClient, scorer: SampleScorer } {
+function createScorer (script: Readonly<Record<string, readonly ScriptedAnswer[]>>): { clock: ManualClock, client: ScriptedClient, scorer: SampleScorer } {
   const clock = new ManualClock()
   const client = new ScriptedClient(clock, script)
   const targets = new TargetTable({ clock, stateLog: quietLog })
@@ -29,47 +29,47 @@
 
 const call = (id: string) => ({ requestId: id, host: 'calls.example', path: '/a/x', body: btoa('text') })
 
-describe('the scorer', () => {
-  it('scores a step of samples, and leaves a slot of each target to callers all the while', async () => {
-    // Load: 68 calls of 100 ms at once to two targets of six slots.
-    const { clock, client, scorer } = stage({ a: [sealed()], b: [sealed()] })
+describe('SampleScorer', () => {
+  it('scores all samples of a step and always leaves a slot of each target to callers', async () => {
+    // Load: 68 simultaneous calls of 100 ms to two targets with six slots each.
+    const { clock, client, scorer } = createScorer({ a: [sealedResponse()], b: [sealedResponse()] })
     const outcomes: ScoreOutcome[] = []
     const done = Promise.all(Array.from({ length: 68 }, async (_, index) => { outcomes.push(await scorer.score(call(`s${index}`), new AbortController().signal)) }))
-    let most = 0
+    let maxConcurrent = 0
     for (let step = 0; step < 100 && outcomes.length < 68; step++) {
       await clock.advance(10)
-      for (const address of ['a', 'b']) most = Math.max(most, client.sent.filter((sent) => sent.address === address && clock.now - sent.at < 100).length)
+      for (const address of ['a', 'b']) maxConcurrent = Math.max(maxConcurrent, client.sent.filter((sent) => sent.address === address && clock.now - sent.at < 100).length)
     }
     await done
     expect(outcomes.every(({ type }) => type === 'scored')).to.equal(true)
-    expect(most).to.equal(5)
+    expect(maxConcurrent).to.equal(5)
     expect(clock.now - (client.sent[0]?.at ?? 0)).to.be.at.most(900)
   })
 
-  it('gives up when targets failed as often as the route allows, and not before', async () => {
-    const failing = stage({ a: [sealed(500, 10)], b: [sealed(500, 10)] })
+  it('gives up after as many failures as the route allows attempts, and not before', async () => {
+    const failing = createScorer({ a: [sealedResponse(500, 10)], b: [sealedResponse(500, 10)] })
     const outcome = failing.scorer.score(call('s'), new AbortController().signal)
     await failing.clock.advance(2000)
     expect(await outcome).to.deep.equal({ type: 'gave-up' })
     expect(failing.client.sent.length).to.be.within(3, 4)
-    const recovering = stage({ a: [sealed(500, 10), sealed()] })
+    const recovering = createScorer({ a: [sealedResponse(500, 10), sealedResponse()] })
     const scored = recovering.scorer.score(call('s'), new AbortController().signal)
     await recovering.clock.advance(2000)
     expect(await scored).to.deep.equal({ type: 'scored', score: 'seal' })
   })
 
-  it('asks again after silence and refusals, which are no failures', async () => {
+  it('retries after missing responses and refusals, which do not count as failures', async () => {
     const refusal: ScriptedAnswer = { afterMs: 5, status: 503, headers: { 'bulrushvalve-not-run': '1' } }
-    const { clock, scorer } = stage({ a: [{ afterMs: 5, failure: 'unknownOutcome' }, refusal, { afterMs: 5, failure: 'unknownOutcome' }, { afterMs: 5, failure: 'unknownOutcome' }, { afterMs: 5, failure: 'unknownOutcome' }, sealed()] })
+    const { clock, scorer } = createScorer({ a: [{ afterMs: 5, failure: 'unknownOutcome' }, refusal, { afterMs: 5, failure: 'unknownOutcome' }, { afterMs: 5, failure: 'unknownOutcome' }, { afterMs: 5, failure: 'unknownOutcome' }, sealedResponse()] })
     const outcome = scorer.score(call('s'), new AbortController().signal)
     await clock.advance(30_000)
     expect((await outcome).type).to.equal('scored')
   })
 
-  it('lets calls of other routes pass one whose route is not there or has no free slot', async () => {
-    // Nothing of any step was scored while one scorer's route was missing. All calls waited in one line behind
-    // the first, whose route no configuration had, until its step was over.
-    const { clock, scorer } = stage({ a: [sealed()] })
+  it('lets calls of other routes overtake a call whose route is missing or has no free slot', async () => {
+    // Guards against one missing route blocking the scoring of all steps: all calls waited in one queue behind the first,
+    // whose route was not configured, until its step ended.
+    const { clock, scorer } = createScorer({ a: [sealedResponse()] })
     const gone = new AbortController()
     scorer.score({ ...call('first'), host: 'nowhere.example' }, gone.signal).catch(() => undefined)
     let outcome: ScoreOutcome | undefined
@@ -79,8 +79,8 @@
     expect(outcome).to.deep.equal({ type: 'scored', score: 'seal' })
   })
 
-  it('forgets what was cancelled', async () => {
-    const { clock, client, scorer } = stage({})
+  it('discards cancelled calls', async () => {
+    const { clock, client, scorer } = createScorer({})
     const cancel = new AbortController()
     scorer.score(call('s'), cancel.signal).catch(() => undefined)
     cancel.abort()
--- a/test/actors/steps/stepCleaner.test.ts
+++ b/test/actors/steps/stepCleaner.test.ts
@@ -1,4 +1,4 @@
-/** When the records of a step go from the store, by clocks that differ between hosts. */
+/** When the records of a step are deleted from the store, with clocks that differ between hosts. */
 
 import { expect } from 'chai'
 import type { StepCleanerServices } from '../../../src/actors/common/steps/stepCleaner.ts'
@@ -15,7 +15,7 @@
 
 const KEEP_MS = 150_000
 
-describe('the cleaner of steps', () => {
+describe('StepCleaner', () => {
   let clock: ManualClock
   let fold: StepFold
   let changes: Emitter<StepChange>
@@ -46,7 +46,7 @@
           return success(0)
         }
       },
-      contents: { drop: async () => success(0) },
+      contents: { deleteRecords: async () => success(0) },
       duty: { holds: true },
       clock,
       stateLog: quietLog
@@ -55,9 +55,9 @@
   })
   afterEach(() => { cleaner.dispose() })
 
-  it('keeps an ended step for its time, however far ahead its own clock is', async () => {
-    // A step was gone seconds after its end. The host that took it had a clock two minutes behind that of the host that
-    // cleans up, which took the difference of the two for the step's age.
+  it('keeps an ended step for the retention time, however far ahead its own clock is', async () => {
+    // Guards against a step being deleted seconds after its end: the clock of the host that accepted it was two minutes
+    // behind that of the cleaning host, which counted the difference as age of the step.
     accept('s', clock.wall() - 140_000)
     write([endRecord('s')])
     await clock.advance(60_000)
@@ -67,26 +67,26 @@
     expect(appended.map(({ key, value }) => [key.split('/')[0], value])).to.deep.equal([['step', undefined], ['end', undefined]])
   })
 
-  it('removes a step of a host whose clock is ahead, as late as all others', async () => {
-    // Steps stayed for good. They had been taken by a host whose clock was an hour ahead, and never grew old enough.
+  it('deletes a step from a host whose clock is ahead after the same time as other steps', async () => {
+    // Guards against steps that are never deleted: a host whose clock was an hour ahead had accepted them, so they never reached the age limit.
     accept('s', clock.wall() + 3_600_000)
     write([endRecord('s')])
     await clock.advance(KEEP_MS + 20_000)
     expect(fold.step('s')).to.equal(undefined)
   })
 
-  it('keeps a step that is open, however old it is', async () => {
+  it('keeps an open step, however old it is', async () => {
     accept('s', clock.wall())
     await clock.advance(10 * KEEP_MS)
     expect(fold.step('s')).not.to.equal(undefined)
   })
 
-  it('counts from the first reading, not from a later one of the same topic', async () => {
+  it('measures the age from the first read, not from a later read of the same topic', async () => {
     accept('s', clock.wall() + 3_600_000)
     write([endRecord('s')])
     await clock.advance(KEEP_MS - 30_000)
     const step = fold.step('s')
-    if (step === undefined) throw new Error('the step is there')
+    if (step === undefined) throw new Error('the step is missing')
     changes.fire({ type: 'accepted', step })
     await clock.advance(60_000)
     expect(fold.step('s')).to.equal(undefined)
--- a/test/actors/steps/stepDesk.test.ts
+++ b/test/actors/steps/stepRequestHandler.test.ts
@@ -1,7 +1,7 @@
-/** What a trainer is told when the texts of a step cannot be had. */
+/** What a trainer receives when the texts of a step are unavailable. */
 
 import { expect } from 'chai'
-import { StepDesk } from '../../../src/actors/common/steps/stepDesk.ts'
+import { StepRequestHandler } from '../../../src/actors/common/steps/stepRequestHandler.ts'
 import { StepFold } from '../../../src/core/common/steps/stepFold.ts'
 import { resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
@@ -10,24 +10,24 @@
 
 describe('a read of a step', () => {
   for (const isLost of [false, true]) {
-    it(`that is refused says how many texts are missing, and that the store is ${isLost ? 'lost' : 'there'}`, async () => {
-      // In an incident reads of open steps were refused since texts were missing. The line of the refusal
-      // did not tell whether all of them were, nor whether this host reached the store.
+    it(`that is refused reports how many texts are missing and that the store is ${isLost ? 'lost' : 'reached'}`, async () => {
+      // Guards against missing diagnostics: reads of open steps were refused because texts were missing, and the refusal did
+      // not show whether all of them were missing or whether this host reached the store.
       const fold = new StepFold()
       const results = ['a', 'b', 'c'].map((id) => resultRecord('s', { item: id, state: 'complete', versions: [1], score: undefined, textKey: `text of ${id}` }, 'n'))
       const { outline } = submissionRecords(submission('s', ['a', 'b', 'c'].map((id) => item(id, 'g'))), 1, 'n')
       fold.apply([...outline, ...results].map((record, offset) => ({ ...record, offset })))
       const topic = { step: (id: string) => fold.step(id), isLost }
       const contents = { texts: async () => [undefined, 'text', undefined] }
-      const desk = new StepDesk({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { acceptMs: 1, endMs: 1, longestWaitMs: 1, submissionCharacters: 1 })
+      const desk = new StepRequestHandler({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { acceptTimeoutMs: 1, endTimeoutMs: 1, maxWaitMs: 1, maxSubmissionCharacters: 1 })
       const page = await desk.results({ id: 's', workspace: undefined }, 0, 0, new AbortController().signal)
-      expect(page).to.include({ ok: false, code: 'stale', message: `2 of 3 texts cannot be had now, store ${isLost ? 'lost' : 'reached'}` })
+      expect(page).to.include({ ok: false, code: 'stale', message: `2 of 3 texts are currently unavailable, store ${isLost ? 'lost' : 'reached'}` })
     })
   }
 
-  it('that finds nothing new and does not wait reads the store to its end first', async () => {
-    // Symptom that is kept away: one host gives a result, and another one, which reads the store with pauses, says for most of a
-    // second that nothing stands there. Trainers ask another host each time.
+  it('that finds nothing new and does not wait first reads the store to its end', async () => {
+    // Guards against a result that seems to disappear: one host returns it, and another, which reads the store at intervals,
+    // reports for most of a second that there is none. Trainers send each request to a different host.
     const fold = new StepFold()
     const { outline } = submissionRecords(submission('s', ['a', 'b'].map((id) => item(id, 'g'))), 1, 'n')
     const listed = resultRecord('s', { item: 'a', state: 'complete', versions: [1], score: undefined, textKey: 'text of a' }, 'n')
@@ -41,7 +41,7 @@
       }
     }
     const contents = { texts: async () => ['text'] }
-    const desk = new StepDesk({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { acceptMs: 1, endMs: 1, longestWaitMs: 1, submissionCharacters: 1 })
+    const desk = new StepRequestHandler({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { acceptTimeoutMs: 1, endTimeoutMs: 1, maxWaitMs: 1, maxSubmissionCharacters: 1 })
     const page = await desk.results({ id: 's', workspace: undefined }, 0, 0, new AbortController().signal)
     expect(page.ok && page.value.results.map(({ item: id }) => id)).to.deep.equal(['a'])
   })
--- a/test/actors/steps/heldTexts.test.ts
+++ b/test/actors/steps/unfinishedTexts.test.ts
@@ -1,4 +1,4 @@
-/** Texts that grow at one host and go on at another: what is put together must be what one chain of runs made. */
+/** Texts that are generated on one host and resumed on another: the combined text must come from a single chain of runs. */
 
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -11,13 +11,13 @@
 import type { AppendFate } from '../../support/texts.ts'
 import { FatefulHistory, itemOf, textsOfHost, workOn } from '../../support/texts.ts'
 
-/** Runs of engines. Each event names the run that made it, and each run is noted with the events that it followed. */
-class Runs {
-  private readonly followed: (readonly string[])[] = []
+/** Simulates runs on engines. Each event names the run that generated it, and the events that precede each run are recorded. */
+class EngineRuns {
+  private readonly precedingEvents: (readonly string[])[] = []
 
-  /** A run that goes on after what is held; its number gives the version, too. */
+  /** Simulates a run that resumes after the events of `text`. The number of the run determines the model version. */
   run (text: ItemText, count: number): void {
-    const run = this.followed.push([...text.events]) - 1
+    const run = this.precedingEvents.push([...text.events]) - 1
     text.beginRun(this.versionOf(run))
     for (let event = 0; event < count; event++) {
       const id = (text.last ?? 0) + 1
@@ -25,12 +25,12 @@
     }
   }
 
-  /** Each event comes from the run of the one before it, or from a run that was asked to go on right there. */
+  /** Checks that each event comes from the run of the preceding event, or from a run that resumed exactly there. */
   expectChain ({ events, last, versions }: SavedText): void {
     expect(events.map((event) => Number(event.split(':')[1]))).to.deep.equal(events.map((_, index) => index + 1))
     const runs = events.map((event) => Number(event.split(':')[0]))
     for (const [index, run] of runs.entries()) {
-      if (run !== runs[index - 1]) expect(this.followed[run], `the run of event ${index + 1} in ${events.join(' ')}`).to.deep.equal(events.slice(0, index))
+      if (run !== runs[index - 1]) expect(this.precedingEvents[run], `the run of event ${index + 1} in ${events.join(' ')}`).to.deep.equal(events.slice(0, index))
     }
     expect(last).to.equal(events.length)
     expect([...versions].sort((a, b) => a - b)).to.deep.equal([...new Set(runs.map((run) => this.versionOf(run)))].sort((a, b) => a - b))
@@ -58,9 +58,9 @@
     return itemOf(this.work, 'i')
   }
 
-  /** Takes the duty over, after it may have lost it. */
+  /** Takes over the duty, possibly after having lost it. */
   async takeOver (): Promise<void> {
-    this.host.held.keep(this.work)
+    this.host.held.retain(this.work)
     this.work = workOn(STEP, items)
     this.host.held.restore(this.work, this.itemWork, await this.host.progress.load(), false)
     this.itemWork.state = 'running'
@@ -88,16 +88,15 @@
   { weight: 1, arbitrary: fc.record({ type: fc.constant('trim' as const), records: fc.integer({ min: 1, max: 2 }) }) }
 ), { minLength: 8, maxLength: 30 })
 
-describe('a held text', () => {
-  it('goes on only where a run was asked to, whoever saves it and whenever that lands', async () => {
-    // Symptom: in the text of an item, the events after number 20 came from a run that had not been asked
-    // to go on there. A holder stood still, another took over and saved, and then the first saved the
-    // events of its own run. Cause: saved events were joined by their place alone, so that a third holder
-    // took events of two runs for one text.
+describe('an unfinished text', () => {
+  it('is continued only where a run resumed, whichever host saves it and whenever the save arrives', async () => {
+    // Guards against combining events of two runs: in the text of an item, the events after number 20 came from a run that
+    // had not resumed there. A holder was suspended, another one took over and saved, and then the first saved the events
+    // of its own run. Saved events were joined by their position alone, so a third holder read them as one text.
     await fc.assert(fc.asyncProperty(actions, async (script) => {
       const history = new FatefulHistory()
       const clock = new ManualClock()
-      const runs = new Runs()
+      const runs = new EngineRuns()
       const holders = [0, 1].map(() => new Holder(history, clock))
       const reader = textsOfHost(history, clock)
       let trimmed = 0
@@ -127,13 +126,13 @@
     }), { numRuns: 1000, seed: 11 })
   })
 
-  it('of a holder that stood still is not joined to what its successor saved', async () => {
-    // Symptom: a third holder went on from events 1 to 20 of one run and 21 to 25 of another that had been
-    // asked to go on after event 10. The first holder stood still after it had saved 10 events; the second
-    // went on from them and saved 20; the first woke and saved its own events 11 to 25 after that.
+  it('of a suspended holder is not joined with the events that its successor saved', async () => {
+    // Guards against a third holder resuming from events 1 to 20 of one run and 21 to 25 of another that had resumed after
+    // event 10. The first holder is suspended after it saved 10 events, the second resumes from them and saves 20, and
+    // then the first wakes up and saves its own events 11 to 25.
     const history = new FatefulHistory()
     const clock = new ManualClock()
-    const runs = new Runs()
+    const runs = new EngineRuns()
     const [first, second, third] = [0, 1, 2].map(() => new Holder(history, clock)) as [Holder, Holder, Holder]
     await first.takeOver()
     runs.run(first.itemWork.text, 10)
@@ -151,12 +150,12 @@
     expect(events).to.deep.equal(second.itemWork.text.events)
   })
 
-  it('that begins anew while a save is under way is saved from its first event', async () => {
-    // Symptom: a text of two runs. While a save was under way the item failed and began anew; when the
-    // store answered, events of the new run counted as saved, because only their number was compared.
+  it('that is restarted during a save is saved from its first event', async () => {
+    // Guards against a text of two runs. If the item failed and was restarted during a save, events of the new run counted
+    // as saved when the store answered, because only their number was compared.
     const history = new FatefulHistory()
     const clock = new ManualClock()
-    const runs = new Runs()
+    const runs = new EngineRuns()
     const holder = new Holder(history, clock)
     await holder.takeOver()
     runs.run(holder.itemWork.text, 4)
@@ -174,17 +173,17 @@
     runs.expectChain(text ?? { events: [], last: 0, versions: [] })
   })
 
-  it('serves only an item that asks the same, and is saved whole for its new step', async () => {
-    // Symptom: an item of a later step went on from the text of another prompt, and a host that took over
-    // did not find the beginning. Unfinished texts were kept by the item's id alone, and what had been
-    // saved for the earlier step counted as saved for the later one.
+  it('is reused only for an identical request, and is saved in full for the new step', async () => {
+    // Guards against an item of a later step that resumes from the text of another prompt, and against a host that takes over
+    // and does not find the beginning of a text. Unfinished texts were retained by item id alone, and events saved for the
+    // earlier step counted as saved for the later one.
     const history = new FatefulHistory()
     const clock = new ManualClock()
-    const runs = new Runs()
+    const runs = new EngineRuns()
     const { held, progress } = textsOfHost(history, clock)
     const earlier = workOn('s1', items)
     runs.run(itemOf(earlier, 'i').text, 3)
-    held.keep(earlier)
+    held.retain(earlier)
 
     for (const [name, changed] of Object.entries({ body: { body: btoa('another prompt') }, path: { path: '/items/other' }, headers: { headers: { 'x-prompt': 'other' } } })) {
       const other = workOn('s2', items.map((same) => ({ ...same, ...changed })))
@@ -202,14 +201,14 @@
     expect((await progress.load()).get(progressKey('s3', 'i'))?.events).to.deep.equal(itemWork.text.events)
   })
 
-  it('goes on from the longer of what the host kept and what the store has', async () => {
+  it('is resumed from the longer of the retained and the stored text', async () => {
     const history = new FatefulHistory()
     const clock = new ManualClock()
-    const runs = new Runs()
+    const runs = new EngineRuns()
     const { held } = textsOfHost(history, clock)
     const own = workOn(STEP, items)
     runs.run(itemOf(own, 'i').text, 3)
-    held.keep(own)
+    held.retain(own)
     for (const [saved, expected] of [[2, 3], [5, 5]] as const) {
       const again = workOn(STEP, items)
       const events = Array.from({ length: saved }, (_, index) => `9:${index + 1}`)
--- a/test/host/hostGauges.test.ts
+++ b/test/host/hostGauges.test.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'chai'
 import { TargetTable } from '../../src/actors/common/routes/targetTable.ts'
-import { newWork } from '../../src/actors/common/steps/stepWork.ts'
+import { newItemWork } from '../../src/actors/common/steps/stepWork.ts'
 import type { ItemState } from '../../src/actors/common/steps/stepWork.ts'
 import { countItems, setGauges } from '../../src/host/node/hostGauges.ts'
 import type { Metrics } from '../../src/ports/common/observation.ts'
@@ -20,7 +20,7 @@
     for (const id of ['a', 'b', 'c']) targets.set(targetDefinition({ id }))
     targets.get('b')?.failed()
     const states: ItemState[] = ['waiting', 'waiting', 'running', 'scoring', 'scoring', 'scoring', 'listing']
-    const items = countItems(states.map((state, index) => ({ ...newWork({ item: item(`i${index}`, 'g'), rank: 'wanted' }, newText(), 0), state })))
+    const items = countItems(states.map((state, index) => ({ ...newItemWork({ item: item(`i${index}`, 'g'), rank: 'wanted' }, newText(), 0), state })))
     const set: Record<string, number> = {}
     const metrics: Metrics = { ...quietMetrics, gauge: (name, value) => { set[name] = value } }
     setGauges(metrics, { duty: { term: 3, alone: true }, requests: 5, items, held: 1, backlog: 4, usageReportedThrough: 200, targets: targets.counts })
--- a/test/support/noHolders.ts
+++ b/test/support/noHolders.ts
@@ -1,7 +1,7 @@
 /** Contents of which no other host holds any. */
 
-import { ContentHolders } from '../../src/actors/common/steps/contentHolders.ts'
+import { PeerContentReader } from '../../src/actors/common/steps/peerContentReader.ts'
 import { failure } from '../../src/base/common/resultCode.ts'
 import { quietMetrics } from './fakeHost.ts'
 
-export const noHolders = new ContentHolders({ peers: { call: async () => failure('targetUnreachable', 'there is no other host') }, metrics: quietMetrics, placeOf: () => undefined }, { address: 'http://self', place: 'here' })
+export const noHolders = new PeerContentReader({ peers: { call: async () => failure('targetUnreachable', 'there is no other host') }, metrics: quietMetrics, failureDomainOf: () => undefined }, { address: 'http://self', place: 'here' })
--- a/test/support/texts.ts
+++ b/test/support/texts.ts
@@ -1,10 +1,10 @@
 /** Held texts for tests: their hosts, work on a step, and a history whose appends a test lets through. */
 
-import { HeldTexts } from '../../src/actors/common/steps/heldTexts.ts'
+import { UnfinishedTexts } from '../../src/actors/common/steps/unfinishedTexts.ts'
 import { ItemText } from '../../src/actors/common/steps/itemText.ts'
-import { ProgressKeeper } from '../../src/actors/common/steps/progressKeeper.ts'
+import { ProgressStore } from '../../src/actors/common/steps/progressStore.ts'
 import type { ItemWork, StepWork } from '../../src/actors/common/steps/stepWork.ts'
-import { newWork } from '../../src/actors/common/steps/stepWork.ts'
+import { newItemWork } from '../../src/actors/common/steps/stepWork.ts'
 import { asTextId } from '../../src/base/common/ids.ts'
 import type { Result } from '../../src/base/common/resultCode.ts'
 import { failure, success } from '../../src/base/common/resultCode.ts'
@@ -65,9 +65,9 @@
 let texts = 0
 
 /** What one host holds of texts, over a history that hosts share. */
-export function textsOfHost (history: History, clock: ManualClock): { readonly held: HeldTexts, readonly progress: ProgressKeeper } {
-  const progress = new ProgressKeeper({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { periodMs: 0, recordBytes: 100_000, inUse: true })
-  return { held: new HeldTexts({ progress, clock, metrics: quietMetrics, nonce: () => `n${texts++}` }), progress }
+export function textsOfHost (history: History, clock: ManualClock): { readonly held: UnfinishedTexts, readonly progress: ProgressStore } {
+  const progress = new ProgressStore({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 0, maxRecordBytes: 100_000, enabled: true })
+  return { held: new UnfinishedTexts({ progress, clock, metrics: quietMetrics, nonce: () => `n${texts++}` }), progress }
 }
 
 export function newText (): ItemText {
@@ -80,8 +80,8 @@
   fold.apply(submissionRecords(submission(id, items, details), details.minimumVersion ?? 1, 'n').outline.map((record, offset) => ({ ...record, offset })))
   const step = fold.step(id)
   if (step === undefined) throw new Error('the step is not accepted')
-  const waiting = items.map((submitted) => newWork({ item: submitted, rank: 'wanted' }, newText(), 0))
-  return { step, items: new Map(waiting.map((itemWork) => [itemWork.item.id, itemWork])), payloads: new Map(items.map((submitted) => [submitted.id, submitted])), longFrom: 0, carried: new Set(), finished: new Map(), waiting }
+  const waiting = items.map((submitted) => newItemWork({ item: submitted, rank: 'wanted' }, newText(), 0))
+  return { step, items: new Map(waiting.map((itemWork) => [itemWork.item.id, itemWork])), payloads: new Map(items.map((submitted) => [submitted.id, submitted])), longItemMinTokens: 0, carriedGroups: new Set(), finished: new Map(), waiting }
 }
 
 export function itemOf (work: StepWork, id: string): ItemWork {
