--- a/test/actors/routes/targetLives.test.ts
+++ b/test/actors/routes/targetRestarts.test.ts
@@ -1,4 +1,4 @@
-/** Targets that start again under their id, and entries that cannot be read, as they are followed in the store. */
+/** Targets that restart under their id and unreadable entries, as they are followed in the store. */
 
 import { expect } from 'chai'
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
@@ -12,13 +12,13 @@
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
-/** What is written of one target: a text that is no entry, fields of an entry, or that it is gone. */
-type Written = string | { born?: number, state?: string, addr?: string, service?: string } | 'gone'
+/** A value written for one target: raw text that is no entry, fields of an entry, or its removal. */
+type WrittenValue = string | { born?: number, state?: string, addr?: string, service?: string } | 'gone'
 
 const entry = (details: object): string => JSON.stringify({ service: 's', addr: '10.0.0.1:80', zone: 'here', version: 'v1', slots: 8, state: 'ready', cold_left_ms: 0, seq: 1, ...details })
-const valueOf = (written: Written): string | undefined => written === 'gone' ? undefined : typeof written === 'string' ? written : entry(written)
+const valueOf = (written: WrittenValue): string | undefined => written === 'gone' ? undefined : typeof written === 'string' ? written : entry(written)
 
-class Scene {
+class Fixture {
   readonly clock = new ManualClock()
   readonly log = new MemoryKeyedLog()
   readonly lines: string[] = []
@@ -28,7 +28,7 @@
     decided: () => undefined
   }
 
-  /** Told when the store answers again. */
+  /** Fires when the store answers again. */
   readonly regained = new Emitter<void>()
   readonly table = new TargetTable({ clock: this.clock, stateLog: this.stateLog })
   readonly topic = new TargetTopic({
@@ -47,7 +47,7 @@
     onRegained: this.regained.event
   }, { name: 't', longPollMs: 20, pauseMs: () => 0 }, registryProtocol, this.table)
 
-  async write (...written: readonly (readonly [string, Written])[]): Promise<void> {
+  async write (...written: readonly (readonly [string, WrittenValue])[]): Promise<void> {
     for (const [id, value] of written) this.log.write([{ key: id, value: valueOf(value) }])
     await this.clock.advance(150)
   }
@@ -56,7 +56,7 @@
     return this.table.available(service).map(({ definition }) => definition.id)
   }
 
-  /** Has all entries loaded anew. */
+  /** Forces all entries to be reloaded. */
   async reload (): Promise<void> {
     this.log.first = this.log.entries.length + 1
     await this.clock.advance(200)
@@ -65,49 +65,49 @@
   }
 }
 
-async function scene (...written: readonly (readonly [string, Written])[]): Promise<Scene> {
-  const made = new Scene()
+async function startFixture (...written: readonly (readonly [string, WrittenValue])[]): Promise<Fixture> {
+  const made = new Fixture()
   made.topic.start()
   await made.write(...written)
   return made
 }
 
-/** Whatever a host can learn of a target while it uses it. */
-function use (target: KnownTarget | undefined): KnownTarget {
+/** Records all statistics that a host can gather while it uses a target. */
+function simulateUse (target: KnownTarget | undefined): KnownTarget {
   if (target === undefined) throw new Error('no target')
-  target.answered(70)
-  target.reported({ running: 3, waiting: 2, slots: 8 })
-  target.failed()
+  target.recordAnswerTime(70)
+  target.recordLoad({ running: 3, waiting: 2, slots: 8 })
+  target.recordFailure()
   target.inFlight++
   return target
 }
 
-describe('a target that starts again under its id', () => {
-  it('is a new target to this host, whatever came between', async () => {
-    // Symptom: a target that had started again got no work, or orders that it refused. It was taken
-    // for the one before, with its failures, load and requests in flight.
-    const away = async ({ log, clock, regained }: Scene): Promise<void> => {
+describe('a target that restarts under its id', () => {
+  it('is a new target to this host, whatever happened in between', async () => {
+    // Guards against a restarted target that gets no work, or orders that it refuses, because it is taken
+    // for its former incarnation with that one's failures, load and requests in flight.
+    const away = async ({ log, clock, regained }: Fixture): Promise<void> => {
       log.down = true
       await clock.advance(2000)
       log.down = false
       regained.fire()
       await clock.advance(200)
     }
-    const cases: { name: string, between: (scene: Scene) => Promise<void>, next: Exclude<Written, string>, service?: string }[] = [
+    const cases: { name: string, between: (scene: Fixture) => Promise<void>, next: Exclude<WrittenValue, string>, service?: string }[] = [
       { name: 'at once', between: async () => undefined, next: { born: 2 } },
-      { name: 'its entry lapsed', between: async (scene) => { await scene.write(['a', 'gone']) }, next: { born: 2 } },
-      { name: 'the store was away', between: away, next: { born: 2 } },
-      { name: 'it lapsed while the store was away', between: async (scene) => { await away(scene); await scene.write(['a', 'gone']) }, next: { born: 2 } },
+      { name: 'its entry expired', between: async (scene) => { await scene.write(['a', 'gone']) }, next: { born: 2 } },
+      { name: 'the store was unavailable', between: away, next: { born: 2 } },
+      { name: 'its entry expired while the store was unavailable', between: async (scene) => { await away(scene); await scene.write(['a', 'gone']) }, next: { born: 2 } },
       { name: 'it drained', between: async (scene) => { await scene.write(['a', { born: 1, state: 'draining' }]) }, next: { born: 2 } },
-      { name: 'it had started again before', between: async (scene) => { await scene.write(['a', { born: 2 }]); use(scene.table.get('a')) }, next: { born: 3 } },
+      { name: 'it had restarted before', between: async (scene) => { await scene.write(['a', { born: 2 }]); simulateUse(scene.table.get('a')) }, next: { born: 3 } },
       { name: 'at another address', between: async () => undefined, next: { born: 2, addr: '10.0.0.9:90' } },
       { name: 'at the address of another service', between: async () => undefined, next: { born: 2, addr: '10.0.0.2:80' } },
       { name: 'for another service', between: async () => undefined, next: { born: 2, service: 'o' }, service: 'o' },
-      { name: 'the entries were loaded anew', between: async (scene) => { await scene.reload() }, next: { born: 2 } }
+      { name: 'the entries were reloaded', between: async (scene) => { await scene.reload() }, next: { born: 2 } }
     ]
     for (const { name, between, next, service } of cases) {
-      const here = await scene(['a', { born: 1 }], ['b', { born: 1, service: 'o', addr: '10.0.0.2:80' }])
-      const former = use(here.table.get('a'))
+      const here = await startFixture(['a', { born: 1 }], ['b', { born: 1, service: 'o', addr: '10.0.0.2:80' }])
+      const former = simulateUse(here.table.get('a'))
       await between(here)
       await here.write(['a', next])
       const target = here.table.get('a')
@@ -118,11 +118,11 @@
     }
   })
 
-  it('is not brought back to an earlier life by a late entry', async () => {
-    // An append without an answer may be done seconds later: then the entry of the earlier life is the newest.
-    const late: Written = { born: 1, addr: '10.0.0.7:70' }
-    const here = await scene(['a', { born: 1 }], ['a', { born: 2, addr: '10.0.0.2:80' }])
-    const target = use(here.table.get('a'))
+  it('is not reverted to an earlier incarnation by a late entry', async () => {
+    // An unconfirmed append may take effect seconds later, and then the entry of the earlier incarnation is the newest.
+    const late: WrittenValue = { born: 1, addr: '10.0.0.7:70' }
+    const here = await startFixture(['a', { born: 1 }], ['a', { born: 2, addr: '10.0.0.2:80' }])
+    const target = simulateUse(here.table.get('a'))
     await here.write(['a', late])
     await here.reload()
     expect([here.table.get('a') === target, target.definition.address]).to.deep.equal([true, '10.0.0.2:80'])
@@ -136,14 +136,14 @@
   })
 })
 
-describe('what a target reports of its life', () => {
-  it('counts if it is newer than its entry, but gives no target an entry', async () => {
-    // Symptom: a target that had left got work again. Its last report told of a later life than its
-    // entry, and was taken for an entry after that was gone.
+describe('the incarnation in a target\'s report', () => {
+  it('is applied if it is newer than the entry, but does not create an entry', async () => {
+    // Guards against a target that gets work again after it has left: its last report stated a later incarnation than
+    // its entry, and was treated as an entry after the entry was gone.
     const models = [{ model: 'm', version: 4 }]
-    const here = await scene(['a', { born: 2 }])
-    const target = use(here.table.get('a'))
-    const tell = (told: number | undefined): string => here.table.tell(target, told === undefined ? undefined : asIncarnation(told), models)
+    const here = await startFixture(['a', { born: 2 }])
+    const target = simulateUse(here.table.get('a'))
+    const tell = (told: number | undefined): string => here.table.applyReportedIncarnation(target, told === undefined ? undefined : asIncarnation(told), models)
     expect([tell(undefined), tell(2), tell(1)]).to.deep.equal(['same', 'same', 'older'])
     expect(here.table.get('a')).to.equal(target)
     await here.write(['a', 'gone'])
@@ -152,21 +152,21 @@
     await here.write(['a', { born: 2 }])
     expect(here.available()).to.deep.equal([])
     await here.write(['a', { born: 3 }])
-    expect([here.available(), here.table.get('a') === target, target.isOver]).to.deep.equal([['a'], false, true])
+    expect([here.available(), here.table.get('a') === target, target.isSuperseded]).to.deep.equal([['a'], false, true])
     const present = here.table.get('a')
-    expect(present === undefined ? '' : here.table.tell(present, asIncarnation(4), models)).to.equal('newer')
+    expect(present === undefined ? '' : here.table.applyReportedIncarnation(present, asIncarnation(4), models)).to.equal('newer')
     expect(here.table.get('a')?.definition).to.deep.include({ incarnation: 4, models })
     here.topic.dispose()
   })
 })
 
-describe('an entry that cannot be read', () => {
-  it('names no target by either way of reading, is told once, and touches no other', async () => {
-    // Symptom: calls went to a target of which the newest entry was from another writer. A host that
-    // followed the topic kept what it had read before, one that loaded it anew waited for the entry.
+describe('an unreadable entry', () => {
+  it('defines no target whether loaded or followed, is logged once, and affects no other entry', async () => {
+    // Guards against calls to a target whose newest entry is from another writer: a host that followed
+    // the topic kept the previous entry, and one that reloaded it waited for the entry.
     const other = { born: 1 }
     for (const broken of ['', '{', '\ufffd', '[]', entry({ born: 'x' }), entry({}), entry({ ...other, state: 'resting' }), entry({ ...other, slots: '8' })].filter((text) => text !== '')) {
-      const here = await scene(['a', other], ['b', other])
+      const here = await startFixture(['a', other], ['b', other])
       await here.write(['a', broken], ['a', broken], ['a', broken])
       expect(here.available(), broken).to.deep.equal(['b'])
       await here.reload()
@@ -177,16 +177,16 @@
       await here.write(['a', broken])
       expect(here.lines.filter((line) => line === "a target's entry cannot be read"), broken).to.have.length(2)
       here.topic.dispose()
-      const anew = await scene(['a', other], ['b', other], ['a', broken])
-      expect(anew.available(), broken).to.deep.equal(['b'])
-      anew.topic.dispose()
+      const reloaded = await startFixture(['a', other], ['b', other], ['a', broken])
+      expect(reloaded.available(), broken).to.deep.equal(['b'])
+      reloaded.topic.dispose()
     }
   })
 
-  it('is no matter of a start that no target tells', async () => {
-    const here = await scene(['a', {}], ['b', {}])
+  it('does not include one without an incarnation while no target states one', async () => {
+    const here = await startFixture(['a', {}], ['b', {}])
     expect(here.available()).to.deep.equal(['a', 'b'])
-    const target = use(here.table.get('a'))
+    const target = simulateUse(here.table.get('a'))
     await here.write(['a', { addr: '10.0.0.9:90' }])
     expect([here.table.get('a') === target, target.definition.address, here.lines]).to.deep.equal([true, '10.0.0.9:90', ['target registered', 'target registered']])
     here.topic.dispose()
--- a/test/actors/routes/targetTable.test.ts
+++ b/test/actors/routes/targetTable.test.ts
@@ -1,4 +1,4 @@
-/** Targets that register, drain, leave, and lapse while the store is away. */
+/** Targets that register, drain, leave, and expire while the store is unavailable. */
 
 import { expect } from 'chai'
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
@@ -8,7 +8,7 @@
 import { RecordedLog } from '../../support/recordedLog.ts'
 import { targetDefinition } from '../../support/routes.ts'
 
-describe('the table of targets', () => {
+describe('TargetTable', () => {
   let clock: ManualClock
   let table: TargetTable
   const available = (): string[] => table.available('s').map(({ definition }) => definition.id)
@@ -21,22 +21,22 @@
     table.set(targetDefinition({ id: 'other', service: 'o' }))
   })
 
-  it('gives the targets of a service', () => { expect(available()).to.deep.equal(['a', 'b']) })
+  it('returns the targets of a service', () => { expect(available()).to.deep.equal(['a', 'b']) })
 
-  it('gives none that drains', () => {
+  it('returns no draining target as available', () => {
     table.set(targetDefinition({ id: 'a', draining: true }))
     expect(available()).to.deep.equal(['b'])
     expect(table.all('s')).to.have.length(2)
   })
 
-  it('gives none whose entry is gone', () => {
+  it('returns no target whose entry is gone', () => {
     table.remove('a', longAgo)
     expect(available()).to.deep.equal(['b'])
   })
 
-  it('keeps a target whose entry lapsed in an outage, until two seconds after the return of the store', async () => {
-    // Symptom: after an outage all engines stood idle for two seconds. Their entries had lapsed while
-    // the store was away, and were taken for gone before they could be written again.
+  it('keeps a target whose entry expired in an outage until two seconds after the return of the store', async () => {
+    // Guards against engines that idle for two seconds after an outage: their entries expired while the
+    // store was unavailable, and were considered removed before they could be written again.
     const regainedAt = clock.now
     table.removeAllBut(new Set(['b', 'other']), regainedAt)
     expect(available()).to.deep.equal(['a', 'b'])
@@ -46,8 +46,8 @@
     expect(available()).to.deep.equal(['b'])
   })
 
-  it('keeps it for good if its entry comes back, and what was learned of it', async () => {
-    table.get('a')?.answered(70)
+  it('keeps it with its statistics if its entry returns', async () => {
+    table.get('a')?.recordAnswerTime(70)
     table.remove('a', clock.now)
     await clock.advance(1000)
     table.set(targetDefinition({ id: 'a' }))
@@ -56,32 +56,32 @@
     expect(table.get('a')?.answerMs).to.equal(70)
   })
 
-  it('does not wait for one that drained before', () => {
+  it('does not wait for the return of a target that was draining', () => {
     table.set(targetDefinition({ id: 'a', draining: true }))
     table.remove('a', clock.now)
     expect(table.get('a')).to.equal(undefined)
   })
 
-  it('suspects a target for longer with each failure in a row, until it answers', async () => {
+  it('suspects a target for longer with each consecutive failure, until it answers', async () => {
     const target = table.get('a')
-    target?.failed()
+    target?.recordFailure()
     await clock.advance(550)
     expect(target?.suspect).to.equal(false)
-    for (let failure = 0; failure < 9; failure++) target?.failed()
+    for (let failure = 0; failure < 9; failure++) target?.recordFailure()
     await clock.advance(3900)
     expect(target?.suspect).to.equal(true)
-    target?.answered(30)
+    target?.recordAnswerTime(30)
     expect(target?.suspect).to.equal(false)
   })
 
-  it('tells of the targets of its first reading in one line, and of each later one in its own', () => {
-    // After a restart of 84 hosts each of them wrote a line for each target that stood in the topic
-    // already, and lines of an hour before gave way to them.
+  it('logs the targets of its first reading in one line, and each later one in its own', () => {
+    // Guards against flooding the log after a restart: 84 hosts each wrote a line for each target that was already
+    // in the topic, and displaced log lines of the preceding hour.
     const log = new RecordedLog()
     const read = new TargetTable({ clock, stateLog: log })
     const first = [targetDefinition({ id: 'a' }), targetDefinition({ id: 'b', draining: true }), targetDefinition({ id: 'other', service: 'o' })]
     const replace = (definitions: readonly TargetDefinition[]): void => {
-      read.readAnew(() => {
+      read.reload(() => {
         for (const definition of definitions) read.set(definition)
         read.removeAllBut(new Set(definitions.map(({ id }) => id)), longAgo)
       })
@@ -94,15 +94,15 @@
     expect(log.lines.slice(1).map(({ what, details }) => `${what} ${String(details.target)}`)).to.deep.equal(['target registered c', 'target drains c', 'target registered d', 'target gone d'])
   })
 
-  it('suspects a target that was silent twice with no answer between', () => {
+  it('suspects a target that was silent twice without an answer in between', () => {
     const target = table.get('a')
     for (let round = 0; round < 2; round++) {
-      target?.silent()
+      target?.recordSilence()
       expect(target?.suspect).to.equal(false)
-      target?.answered(30)
+      target?.recordAnswerTime(30)
     }
-    target?.silent()
-    target?.silent()
+    target?.recordSilence()
+    target?.recordSilence()
     expect(target?.suspect).to.equal(true)
   })
 })
--- a/test/actors/routes/silence.test.ts
+++ b/test/actors/routes/unansweredAttempts.test.ts
@@ -1,4 +1,4 @@
-/** Attempts that stay without an answer: when they are sent once more, where, and what they hold. */
+/** Attempts without an answer: when and where they are hedged, and how long they occupy a slot. */
 
 import { expect } from 'chai'
 import { allMechanisms } from '../../../src/core/common/mechanisms.ts'
@@ -18,22 +18,22 @@
 import { ScriptedClient } from '../../support/scriptedClient.ts'
 import { guards } from '../../support/targetEnds.ts'
 
-const own = { 'bulrushvalve-request-id': 'r', 'bulrushvalve-response-seal': 's' }
-const good: ScriptedAnswer = { afterMs: 20, headers: own }
+const ownHeaders = { 'bulrushvalve-request-id': 'r', 'bulrushvalve-response-seal': 's' }
+const good: ScriptedAnswer = { afterMs: 20, headers: ownHeaders }
 const refused: ScriptedAnswer = { afterMs: 5, status: 503, headers: { 'bulrushvalve-not-run': '1', 'bulrushvalve-request-id': 'r' } }
 const unreachable: ScriptedAnswer = { afterMs: 5, failure: 'targetUnreachable' }
 const silent: ScriptedAnswer = { afterMs: Number.POSITIVE_INFINITY }
 
-interface Stage {
+interface StartedCall {
   readonly clock: ManualClock
   readonly table: TargetTable
   ended: { readonly result: Result<RoutedAnswer>, readonly tookMs: number } | undefined
 }
 
-function begin (clock: ManualClock, client: TargetClient, targets: readonly string[], details: Partial<Route> = {}, background = false): Stage {
+function startCall (clock: ManualClock, client: TargetClient, targets: readonly string[], details: Partial<Route> = {}, background = false): StartedCall {
   const table = new TargetTable({ clock, stateLog: quietLog })
   for (const id of targets) table.set(targetDefinition({ id, address: id }))
-  const stage: Stage = { clock, table, ended: undefined }
+  const stage: StartedCall = { clock, table, ended: undefined }
   const calls = new RouteCalls({ targets: table, client, ...guards(table, client, clock), protocol: targetProtocol, clock, chance: seededChance(3), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms })
   const beganAt = clock.now
   calls.call({ route: route(details), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 2000, configuration: 1, background, gone: new AbortController().signal })
@@ -41,42 +41,42 @@
   return stage
 }
 
-const outcome = ({ ended }: Stage): string => ended === undefined ? 'waits' : ended.result.ok ? `${ended.result.value.answer.status} of ${ended.result.value.target}` : ended.result.code
+const outcome = ({ ended }: StartedCall): string => ended === undefined ? 'waits' : ended.result.ok ? `${ended.result.value.answer.status} of ${ended.result.value.target}` : ended.result.code
 
 describe('an attempt without an answer', () => {
-  it('is sent once more to the same target where there is no other, over a new connection', async () => {
+  it('is hedged at the same target over a new connection if there is no other target', async () => {
     const clock = new ManualClock()
     const client = new ScriptedClient(clock, { a: [silent, good] })
-    const stage = begin(clock, client, ['a'])
+    const stage = startCall(clock, client, ['a'])
     await clock.advance(3000)
     expect([outcome(stage), stage.ended?.tookMs]).to.deep.equal(['200 of a', 120])
     expect(client.distrusted).to.include('a')
   })
 
-  it('is not sent once more to a target that said lately that its slots are taken', async () => {
-    // Late look-ups rose from 16 to 37 of 154 on a day on which one target of three was left. Its queue made each of them
-    // late, each was sent to it a second time, and the queue grew by these.
+  it('is not hedged at a target that has recently reported that its slots are taken', async () => {
+    // Guards against hedges that lengthen the queue of the last remaining target: its queue makes each request late, each is
+    // sent to it a second time, and the queue grows further. With one target of three left, late requests rose from 16 to 37 of 154.
     for (const background of [false, true]) {
       const clock = new ManualClock()
       const client = new ScriptedClient(clock, { a: [{ ...good, afterMs: 1200 }] })
-      const stage = begin(clock, client, ['a'], {}, background)
-      stage.table.get('a')?.reported({ running: 6, waiting: 2, slots: 6 })
+      const stage = startCall(clock, client, ['a'], {}, background)
+      stage.table.get('a')?.recordLoad({ running: 6, waiting: 2, slots: 6 })
       await clock.advance(3000)
       expect([outcome(stage), stage.ended?.tookMs, client.sent.length], String(background)).to.deep.equal(['200 of a', 1200, 1])
     }
     const clock = new ManualClock()
     const client = new ScriptedClient(clock, { a: [silent, good] })
-    const stage = begin(clock, client, ['a'], { objectiveMs: 3600 })
-    stage.table.get('a')?.reported({ running: 6, waiting: 2, slots: 6 })
+    const stage = startCall(clock, client, ['a'], { objectiveMs: 3600 })
+    stage.table.get('a')?.recordLoad({ running: 6, waiting: 2, slots: 6 })
     await clock.advance(3000)
-    expect([outcome(stage), client.sent.length], 'a word of 1.8 s before').to.deep.equal(['200 of a', 2])
+    expect([outcome(stage), client.sent.length], 'a report that is 1.8 s old').to.deep.equal(['200 of a', 2])
   })
 
-  it('has the connections to its target put aside once a new connection is answered sooner, or time is up', async () => {
+  it('causes the connections to its target to be distrusted once a new connection answers sooner or the time is over', async () => {
     for (const { second, expected } of [{ second: good, expected: 120 }, { second: silent, expected: 150 }]) {
       const clock = new ManualClock()
       const client = new ScriptedClient(clock, { a: [silent, second] })
-      const stage = begin(clock, client, ['a'], { timeoutMs: 150 })
+      const stage = startCall(clock, client, ['a'], { timeoutMs: 150 })
       await clock.advance(110)
       expect(client.distrusted).to.deep.equal([])
       await clock.advance(50)
@@ -86,32 +86,32 @@
     }
   })
 
-  it('that is answered sooner than the new connection leaves all connections as they are', async () => {
+  it('that is answered sooner than its hedge leaves all connections trusted', async () => {
     const clock = new ManualClock()
     const client = new ScriptedClient(clock, { a: [{ ...good, afterMs: 130 }, silent] })
-    const stage = begin(clock, client, ['a'])
+    const stage = startCall(clock, client, ['a'])
     await clock.advance(200)
     expect([outcome(stage), stage.ended?.tookMs]).to.deep.equal(['200 of a', 130])
     expect(client.distrusted).to.deep.equal([])
   })
 
   /*
-   * Targets in order were asked last for up to four seconds after connections to them had gone silent.
-   * The timeout of a call marked every target that it still waited for as failed.
+   * Guards against healthy targets that are chosen last for up to four seconds after connections to them went
+   * silent, because the timeout of a call marked every target that it still waited for as failed.
    */
   for (const timeoutMs of [700, 1900]) {
-    it(`on a kept connection is no word on its target after ${timeoutMs} ms; one on a new connection is`, async () => {
+    it(`on a reused connection does not count as a failure of its target after ${timeoutMs} ms, but one on a new connection does`, async () => {
       const clock = new ManualClock()
-      const stage = begin(clock, new ScriptedClient(clock, { a: [silent], b: [silent] }), ['a', 'b'], { timeoutMs })
+      const stage = startCall(clock, new ScriptedClient(clock, { a: [silent], b: [silent] }), ['a', 'b'], { timeoutMs })
       await clock.advance(timeoutMs + 10)
       expect(outcome(stage)).to.equal('unknownOutcome')
       expect(stage.table.available('s').filter(({ suspect }) => suspect)).to.have.length(1)
     })
   }
 
-  it('of the background leaves its slot to its second send', async () => {
+  it('of a background call passes its slot to the hedge', async () => {
     const clock = new ManualClock()
-    const stage = begin(clock, new ScriptedClient(clock, { a: [silent, good] }), ['a'], {}, true)
+    const stage = startCall(clock, new ScriptedClient(clock, { a: [silent, good] }), ['a'], {}, true)
     await clock.advance(205)
     expect(stage.table.get('a')?.inFlight).to.equal(1)
     await clock.advance(100)
@@ -119,11 +119,11 @@
   })
 
   /*
-   * A call that had ended went on to count as in flight at its target, and kept background calls out. An
-   * HTTP client settles a request whose connection does not open only when it gives that up, not when
-   * the request is aborted; the slot was free only then.
+   * Guards against a finished call that still counts as in flight at its target and keeps background calls out:
+   * an HTTP client settles a request whose connection does not open only when it stops connecting, not when the
+   * request is aborted.
    */
-  it('holds no slot once its call has ended, though its connection still opens', async () => {
+  it('occupies no slot once its call has ended, even if its connection is still being opened', async () => {
     const clock = new ManualClock()
     const opening: TargetClient = {
       exchange: async () => await new Promise<never>(() => undefined),
@@ -131,7 +131,7 @@
       distrust: () => undefined,
       listens: async () => 'yes'
     }
-    const stage = begin(clock, opening, ['a', 'b'], { timeoutMs: 700 })
+    const stage = startCall(clock, opening, ['a', 'b'], { timeoutMs: 700 })
     await clock.advance(300)
     expect(stage.table.available('s').map(({ inFlight }) => inFlight)).to.deep.equal([1, 1])
     await clock.advance(400)
@@ -139,22 +139,22 @@
     expect(stage.table.available('s').map(({ inFlight }) => inFlight)).to.deep.equal([0, 0])
   })
 
-  it('counts its target among those allowed, though a second send there was refused', async () => {
+  it('still counts its target towards the allowed ones if a hedge there was refused', async () => {
     const clock = new ManualClock()
     const client = new ScriptedClient(clock, { a: [silent, refused], b: [silent], c: [silent] })
-    const stage = begin(clock, client, ['a'])
+    const stage = startCall(clock, client, ['a'])
     clock.after(102, () => { for (const id of ['b', 'c']) stage.table.set(targetDefinition({ id, address: id })) })
     await clock.advance(3000)
     expect(new Set(client.sent.map(({ address }) => address)).size).to.equal(2)
   })
 
-  it('of any kind goes to no more targets than allowed, ends in time and holds no slot after', async () => {
+  it('of any kind is sent to no more targets than allowed, ends in time and occupies no slot afterwards', async () => {
     const answers = fc.array(fc.constantFrom(good, refused, unreachable, silent, { afterMs: 5, failure: 'unknownOutcome' } as const, { ...good, afterMs: 300 }), { minLength: 1, maxLength: 4 })
     await fc.assert(fc.asyncProperty(fc.array(answers, { minLength: 1, maxLength: 4 }), fc.integer({ min: 1, max: 3 }), fc.boolean(), fc.boolean(), async (scripts, attempts, repeatable, background) => {
       const clock = new ManualClock()
       const names = scripts.map((_, index) => `t${index}`)
       const client = new ScriptedClient(clock, Object.fromEntries(scripts.map((script, index) => [`t${index}`, script])))
-      const stage = begin(clock, client, names, { attempts, kind: repeatable ? 'idempotent' : 'once-only', timeoutMs: 1000 }, background)
+      const stage = startCall(clock, client, names, { attempts, kind: repeatable ? 'idempotent' : 'once-only', timeoutMs: 1000 }, background)
       await clock.advance(1000)
       expect(stage.ended?.tookMs).to.be.at.most(1000)
       const mayHaveRun = names.flatMap((name, index) => client.sent.filter(({ address }) => address === name).flatMap((_, sent) => {
@@ -169,12 +169,12 @@
   })
 })
 
-describe('the time after which an attempt is sent once more', () => {
-  it('is half the objective where a caller waits', () => {
+describe('the time after which an attempt is hedged', () => {
+  it('is half the objective if a caller is waiting', () => {
     expect(hedgeDelayMs({ objectiveMs: 156, allowedMs: 2000, answerMs: 500, background: false })).to.equal(78)
   })
 
-  it('follows the usual answers of the target in the background, up to a third of the whole time', () => {
+  it('follows the usual answer times of the target for background calls, up to a third of the allowed time', () => {
     const late = (answerMs: number | undefined): number => hedgeDelayMs({ objectiveMs: 500, allowedMs: 3000, answerMs, background: true })
     expect([late(undefined), late(100), late(250), late(900)]).to.deep.equal([500, 500, 750, 1000])
   })
--- a/test/actors/steps/itemGate.test.ts
+++ b/test/actors/steps/itemGate.test.ts
@@ -1,7 +1,7 @@
 /** Which items may start while engines terminate during the runs of some of them. */
 
 import { expect } from 'chai'
-import type { Admission } from '../../../src/actors/common/routes/heldRequests.ts'
+import type { Admission } from '../../../src/actors/common/routes/requestQuarantine.ts'
 import { ItemGate } from '../../../src/actors/common/steps/itemGate.ts'
 import type { RunOutcome } from '../../../src/actors/common/steps/itemRun.ts'
 import type { ItemWork } from '../../../src/actors/common/steps/stepWork.ts'
--- a/test/actors/targets/leaseHolder.test.ts
+++ b/test/actors/targets/leaseHolder.test.ts
@@ -1,4 +1,4 @@
-/** Leases on a clock that the test moves: a lapse never lets a second author act unnoticed. */
+/** Leases under a manually advanced clock: after an expiry, no two holders may order at the same time. */
 
 import { expect } from 'chai'
 import type { FoldView } from '../../../src/actors/common/log/controlLog.ts'
@@ -14,10 +14,10 @@
 import { fold } from '../../support/records.ts'
 
 const shard = 'drafter@Abdali' as ShardKey
-const settings = { durationMs: 1000, flightMs: 200 }
+const settings = { durationMs: 1000, maxInFlightMs: 200 }
 
-/** Two holders over one fold that both see at once; `delayMs` is how long an append takes. */
-function world (): { clock: ManualClock, state: FoldState, holder: (name: string, seed: number, delayMs?: number) => LeaseHolder } {
+/** Creates holders over one fold that all of them see at once; `delayMs` is the duration of an append. */
+function createFixture (): { clock: ManualClock, state: FoldState, holder: (name: string, seed: number, delayMs?: number) => LeaseHolder } {
   const clock = new ManualClock()
   const state = emptyState()
   const holder = (name: string, seed: number, delayMs = 0): LeaseHolder => new LeaseHolder({
@@ -38,78 +38,76 @@
 }
 
 describe('a lease', () => {
-  it('is taken when nobody holds it and refused to another meanwhile', async () => {
-    const { holder } = world()
+  it('is acquired when nobody holds it, and refused to another host meanwhile', async () => {
+    const { holder } = createFixture()
     const [a, b] = [holder('a', 1), holder('b', 2)]
-    await a.keep()
+    await a.acquireOrRenew()
     b.observe()
-    await b.keep()
-    expect([a.fenceNow(), b.fenceNow()]).to.deep.equal([1, undefined])
+    await b.acquireOrRenew()
+    expect([a.currentFence(), b.currentFence()]).to.deep.equal([1, undefined])
   })
 
   /*
-   * Symptom: two hosts order an engine that does not check the fencing number.
-   * Sequence: the holder sleeps past its lease; a successor takes it; the holder wakes and goes on.
-   * Cause: the holder's last check was before it slept.
+   * Guards against two hosts ordering an engine that does not check the fencing token: the holder is suspended
+   * beyond its lease, a successor acquires it, and the holder resumes with a check that it made before.
    */
-  it('is not used by a holder that slept past it', async () => {
-    const { clock, holder } = world()
+  it('is not used by a holder that was suspended beyond its expiry', async () => {
+    const { clock, holder } = createFixture()
     const a = holder('a', 1)
-    await a.keep()
+    await a.acquireOrRenew()
     clock.freeze(1001)
-    expect(a.fenceNow()).to.equal(undefined)
+    expect(a.currentFence()).to.equal(undefined)
   })
 
-  it('counts from before it was asked for, so that a slow append does not lengthen it', async () => {
-    const { clock, holder } = world()
+  it('is counted from before it was requested, so that a slow append does not extend it', async () => {
+    const { clock, holder } = createFixture()
     const a = holder('a', 1, 400)
-    const kept = a.keep()
+    const kept = a.acquireOrRenew()
     await clock.advance(400)
     await kept
     clock.freeze(599)
-    expect(a.fenceNow()).to.equal(1)
+    expect(a.currentFence()).to.equal(1)
     clock.freeze(1)
-    expect(a.fenceNow()).to.equal(undefined)
+    expect(a.currentFence()).to.equal(undefined)
   })
 
   /*
-   * Symptom: an order of the former holder arrives after the successor's first.
-   * Sequence: the holder sends an order at the last moment; it is under way for a while.
-   * Cause: a successor that only waits out the lease does not wait for what was sent under it.
+   * Guards against an order of the former holder that arrives after the successor's first one: the holder sends it
+   * just before the expiry, and a successor that waits only for the expiry does not wait for orders in flight.
    */
-  it('is taken over only after its duration and the longest flight of an order', async () => {
-    const { clock, holder } = world()
+  it('is taken over only after its duration and the maximum time that an order is in flight', async () => {
+    const { clock, holder } = createFixture()
     const [a, b] = [holder('a', 1), holder('b', 2)]
-    await a.keep()
+    await a.acquireOrRenew()
     b.observe()
     clock.freeze(1200)
-    await b.keep()
-    expect(b.fenceNow()).to.equal(undefined)
+    await b.acquireOrRenew()
+    expect(b.currentFence()).to.equal(undefined)
     clock.freeze(1)
-    await b.keep()
-    expect(b.fenceNow()).to.equal(2)
+    await b.acquireOrRenew()
+    expect(b.currentFence()).to.equal(2)
   })
 
-  it('renewed in between is not taken over', async () => {
-    const { clock, holder } = world()
+  it('is not taken over if it was renewed in between', async () => {
+    const { clock, holder } = createFixture()
     const [a, b] = [holder('a', 1), holder('b', 2)]
-    await a.keep()
+    await a.acquireOrRenew()
     b.observe()
     clock.freeze(900)
-    await a.keep()
+    await a.acquireOrRenew()
     b.observe()
     clock.freeze(900)
-    await b.keep()
-    expect([a.fenceNow(), b.fenceNow()]).to.deep.equal([1, undefined])
+    await b.acquireOrRenew()
+    expect([a.currentFence(), b.currentFence()]).to.deep.equal([1, undefined])
   })
 
-  it('given back is free at once, with a higher fencing number', async () => {
-    const { holder } = world()
+  it('is available at once after its release, with a higher fencing token', async () => {
+    const { holder } = createFixture()
     const [a, b] = [holder('a', 1), holder('b', 2)]
-    await a.keep()
-    await a.end()
+    await a.acquireOrRenew()
+    await a.release()
     b.observe()
-    await b.keep()
-    expect([a.fenceNow(), b.fenceNow()]).to.deep.equal([undefined, 3])
+    await b.acquireOrRenew()
+    expect([a.currentFence(), b.currentFence()]).to.deep.equal([undefined, 3])
   })
 })
--- a/test/actors/usage/usageMeter.test.ts
+++ b/test/actors/usage/usageMeter.test.ts
@@ -9,7 +9,7 @@
 const acme = asWorkspaceName('acme')
 const WINDOW_MS = 5000
 
-function scene (hosts = 12): { clock: ManualClock, log: MemoryKeyedLog, meter: UsageMeter, total: (window: number) => number } {
+function createFixture (hosts = 12): { clock: ManualClock, log: MemoryKeyedLog, meter: UsageMeter, total: (window: number) => number } {
   const clock = new ManualClock()
   const log = new MemoryKeyedLog()
   const meter = new UsageMeter({ log, clock, stateLog: quietLog, host: asHostId('machine/life'), hosts: () => hosts }, { windowMs: WINDOW_MS })
@@ -21,34 +21,34 @@
   return { clock, log, meter, total }
 }
 
-describe('the meter of usage', () => {
-  it('counts a request in the window in which it began, and hands in within a second or so', async () => {
-    const { clock, meter, total } = scene()
-    meter.began(acme, 0)
-    meter.began(acme, WINDOW_MS)
+describe('UsageMeter', () => {
+  it('counts a request in the window in which it started, and flushes within about a second', async () => {
+    const { clock, meter, total } = createFixture()
+    meter.recordStart(acme, 0)
+    meter.recordStart(acme, WINDOW_MS)
     await clock.advance(1250)
     expect([total(199), total(200), meter.backlog]).to.deep.equal([1, 1, 0])
   })
 
-  it('hands in once what the store has though its answer was lost, and what it took late', async () => {
-    const { clock, log, meter, total } = scene()
+  it('counts records only once if the answer of their append was lost or the append took effect late', async () => {
+    const { clock, log, meter, total } = createFixture()
     log.loseAnswers = 1
-    meter.began(acme, 0)
+    meter.recordStart(acme, 0)
     await clock.advance(1250)
     log.delayAppends = 1
-    meter.began(acme, 0)
+    meter.recordStart(acme, 0)
     await clock.advance(5000)
     log.land()
-    meter.began(acme, WINDOW_MS)
+    meter.recordStart(acme, WINDOW_MS)
     await clock.advance(1250)
     expect([total(200), meter.backlog]).to.deep.equal([3, 0])
   })
 
-  it('keeps what it counted while the store is away', async () => {
-    const { clock, log, meter, total } = scene()
+  it('keeps its counts while the store is unavailable', async () => {
+    const { clock, log, meter, total } = createFixture()
     log.down = true
     for (let second = 0; second < 4; second++) {
-      meter.began(acme, 0)
+      meter.recordStart(acme, 0)
       await clock.advance(1000)
     }
     log.down = false
@@ -56,26 +56,26 @@
     expect(total(200)).to.equal(4)
   })
 
-  it('asks the store for nothing while nothing runs, and less often where there are many hosts', async () => {
-    const { clock, log, meter } = scene(340)
+  it('makes no appends while nothing runs, and fewer with many hosts', async () => {
+    const { clock, log, meter } = createFixture(340)
     await clock.advance(10_000)
     expect(log.appends).to.equal(0)
     for (let moment = 0; moment < 100; moment++) {
-      meter.began(acme, 0)
+      meter.recordStart(acme, 0)
       await clock.advance(100)
     }
     expect(log.appends).to.be.within(2, 4)
   })
 
-  it('hands in without pauses when its host is about to exit: a host that serves until then ended a second later than it had to', async () => {
-    const { clock, meter, total } = scene()
-    meter.began(acme, 0)
+  it('flushes without pauses when its host is about to exit, as a host that served until then would exit a second late', async () => {
+    const { clock, meter, total } = createFixture()
+    meter.recordStart(acme, 0)
     await clock.advance(250)
-    meter.began(acme, 0)
-    meter.leave()
+    meter.recordStart(acme, 0)
+    meter.flushWithoutPauses()
     await clock.advance(1)
     expect(total(200)).to.equal(2)
-    meter.began(acme, 0)
+    meter.recordStart(acme, 0)
     await clock.advance(250)
     expect([total(200), meter.backlog]).to.deep.equal([3, 0])
   })
--- a/test/actors/usage/usageReporter.test.ts
+++ b/test/actors/usage/usageReporter.test.ts
@@ -1,4 +1,4 @@
-/** Reports of usage by holders that come and go, over a store and an interface that fail. `CASES=3000 SEED=1` plays more sequences. */
+/** Usage reports by changing duty holders, over a store and a platform interface that fail. `CASES=3000 SEED=1` runs more random sequences. */
 
 import { expect } from 'chai'
 import { UsageReporter } from '../../../src/actors/common/usage/usageReporter.ts'
@@ -16,8 +16,8 @@
 const times = { windowMs: 5000, dueMs: 10_000 }
 const acme = asWorkspaceName('acme')
 
-/** The platform's interface: takes note of what it gets, and answers as it is told. */
-class Interface {
+/** A platform interface that records the reports that it receives, and answers as configured. */
+class FakePlatform {
   readonly reports: { readonly window: number, readonly counts: string, readonly holder: DutyHolder }[] = []
   answer: () => DutyVerdict | 'lost' = () => 'accepted'
 
@@ -28,8 +28,8 @@
     return answer === 'lost' ? 'no-answer' : answer
   }
 
-  /** Windows of which two reports differ. */
-  get doubles (): number[] {
+  /** Windows with reports that differ from the first one. */
+  get conflictingWindows (): number[] {
     const first = new Map<number, string>()
     return this.reports.filter(({ window, counts }) => {
       const known = first.get(window) ?? counts
@@ -64,7 +64,7 @@
 class Scene {
   readonly clock = new ManualClock()
   readonly log = new MemoryKeyedLog()
-  readonly platform = new Interface()
+  readonly platform = new FakePlatform()
   private term = 0
   private sequence = 0
 
@@ -77,11 +77,11 @@
     return { duty, reporter }
   }
 
-  hold ({ duty }: Member): void {
+  acquireDuty ({ duty }: Member): void {
     duty.set(true, ++this.term)
   }
 
-  leave ({ duty }: Member): void {
+  releaseDuty ({ duty }: Member): void {
     duty.set(false, duty.term)
   }
 
@@ -90,11 +90,11 @@
   }
 }
 
-describe('reports of usage', () => {
-  it('come in time, once for each window, and leave no records behind', async () => {
+describe('usage reports', () => {
+  it('are sent in time, once for each window, and leave no records behind', async () => {
     const scene = new Scene()
     const member = scene.join('m')
-    scene.hold(member)
+    scene.acquireDuty(member)
     for (let window = 0; window < 4; window++) {
       scene.count(window + 1)
       await scene.clock.advance(5000)
@@ -105,27 +105,27 @@
     expect(member.reporter.reportedThrough).to.equal(scene.platform.reports.at(-1)?.window)
   })
 
-  it('say the same after a takeover between a send and its answer: the new holder counted what came in between as well', async () => {
+  it('are unchanged after a takeover between a send and its answer, though more was counted in between', async () => {
     const scene = new Scene()
     const [former, present] = [scene.join('m1'), scene.join('m2')]
-    scene.hold(former)
+    scene.acquireDuty(former)
     scene.count(3)
     scene.platform.answer = () => 'lost'
     await scene.clock.advance(10_100)
     expect(scene.platform.reports).to.have.length.above(0)
-    scene.leave(former)
+    scene.releaseDuty(former)
     scene.count(2, 200)
     scene.platform.answer = () => 'accepted'
-    scene.hold(present)
+    scene.acquireDuty(present)
     await scene.clock.advance(5000)
     expect(scene.platform.reports.filter(({ window }) => window === 200).map(({ counts }) => counts)).to.satisfy((all: string[]) => all.length > 1 && new Set(all).size === 1)
-    expect(scene.platform.doubles).to.deep.equal([])
+    expect(scene.platform.conflictingWindows).to.deep.equal([])
   })
 
-  it('are sent late where the interface or the store was away, and with pauses that grow', async () => {
+  it('are sent late after an outage of the interface or the store, with growing pauses', async () => {
     const scene = new Scene()
     const member = scene.join('m')
-    scene.hold(member)
+    scene.acquireDuty(member)
     scene.count(1)
     let calls = 0
     scene.platform.answer = () => {
@@ -143,9 +143,9 @@
     expect(windows).to.deep.equal(windows.map((_, index) => 200 + index)).and.to.have.length.above(7)
   })
 
-  it('are not held up by one that the platform will not take', async () => {
+  it('are not blocked by one that the platform rejects', async () => {
     const scene = new Scene()
-    scene.hold(scene.join('m'))
+    scene.acquireDuty(scene.join('m'))
     let first = true
     scene.platform.answer = () => {
       if (!first) return 'accepted'
@@ -156,32 +156,32 @@
     expect(scene.platform.reports[0]?.window).to.equal(201)
   })
 
-  it('are not sent again after the record of an earlier report was carried out late: it replaced the newer one for hosts that read the topic anew', async () => {
+  it('are not sent again after the record of an earlier report took effect late and replaced the newer one for hosts that reload the topic', async () => {
     const scene = new Scene()
     const [former, present] = [scene.join('m1'), scene.join('m2')]
-    scene.hold(former)
+    scene.acquireDuty(former)
     scene.count(3)
     scene.platform.answer = () => {
-      // The next append is the one that writes down how far all is reported.
+      // The next append is the record of the last reported window.
       scene.log.delayAppends = 1
       return 'accepted'
     }
     await scene.clock.advance(10_100)
-    scene.leave(former)
+    scene.releaseDuty(former)
     scene.platform.answer = () => 'accepted'
-    scene.hold(present)
+    scene.acquireDuty(present)
     scene.count(4)
     await scene.clock.advance(15_000)
     scene.log.land()
-    const anew = scene.join('m3')
+    const reloadingMember = scene.join('m3')
     scene.log.first = scene.log.entries.length
-    scene.leave(present)
-    scene.hold(anew)
+    scene.releaseDuty(present)
+    scene.acquireDuty(reloadingMember)
     await scene.clock.advance(15_000)
-    expect(scene.platform.doubles).to.deep.equal([])
+    expect(scene.platform.conflictingWindows).to.deep.equal([])
   })
 
-  it('never differ for one window, whatever becomes of holders, clocks, store and interface', async function () {
+  it('never differ for one window, under random faults of holders, clocks, store and interface', async function () {
     this.timeout(600_000)
     const cases = Number(process.env['CASES'] ?? 60)
     const from = Number(process.env['SEED'] ?? 1)
@@ -194,9 +194,9 @@
       scene.platform.answer = () => (['accepted', 'accepted', 'lost', 'later', 'no-answer'] as const)[draw(5)] ?? 'accepted'
       for (let moment = 0; moment < 80; moment++) {
         switch (draw(9)) {
-          // Two may hold at once: the seal alone has to keep their reports alike.
-          case 0: scene.hold(pick()); break
-          case 1: scene.leave(pick()); break
+          // Two members may hold the duty at once, and then the seal alone must keep their reports identical.
+          case 0: scene.acquireDuty(pick()); break
+          case 1: scene.releaseDuty(pick()); break
           case 2: scene.count(1 + draw(5)); break
           case 3: scene.count(1 + draw(5), Math.floor(scene.clock.wall() / times.windowMs) - draw(4)); break
           case 4: scene.log.down = draw(3) === 0; break
@@ -205,7 +205,7 @@
           case 7: scene.log.land(); break
           case 8: {
             const ended = pick()
-            scene.leave(ended)
+            scene.releaseDuty(ended)
             ended.reporter.dispose()
             members = [...members.filter((member) => member !== ended), scene.join(`n${moment}`, draw(4000) - 2000)]
             if (draw(2) === 0) scene.log.first = scene.log.entries.length
@@ -214,7 +214,7 @@
         await scene.clock.advance(100 + draw(1500))
       }
       scene.log.land()
-      expect({ seed, doubles: scene.platform.doubles }).to.deep.equal({ seed, doubles: [] })
+      expect({ seed, doubles: scene.platform.conflictingWindows }).to.deep.equal({ seed, doubles: [] })
       for (const { reporter } of members) reporter.dispose()
     }
   })
--- a/test/host/hostGauges.test.ts
+++ b/test/host/hostGauges.test.ts
@@ -18,7 +18,7 @@
     // for suspect, or waited for the store: a scrape had the term and one number of items only.
     const targets = new TargetTable({ clock: new ManualClock(), stateLog: quietLog })
     for (const id of ['a', 'b', 'c']) targets.set(targetDefinition({ id }))
-    targets.get('b')?.failed()
+    targets.get('b')?.recordFailure()
     const states: ItemState[] = ['waiting', 'waiting', 'running', 'scoring', 'scoring', 'scoring', 'listing']
     const items = countItems(states.map((state, index) => ({ ...newItemWork({ item: item(`i${index}`, 'g'), rank: 'wanted' }, newText(), 0), state })))
     const set: Record<string, number> = {}
--- a/test/support/silentScene.ts
+++ b/test/support/silentScene.ts
@@ -109,10 +109,10 @@
     const beganAt = performance.now()
     let whole = false
     await this.hosts[host]?.streams.call({ ...details(streaming, `q${this.requests++}`), background: false, resumeAfter: undefined }, {
-      head: () => undefined,
+      writeHead: () => undefined,
       write: () => undefined,
       end: () => { whole = true },
-      cut: () => undefined
+      abort: () => undefined
     })
     return { beganAt, tookMs: this.since(beganAt), answered: whole }
   }
@@ -139,7 +139,7 @@
     const line = async (): Promise<CallEnd[]> => {
       const ends: CallEnd[] = []
       while (performance.now() < until) {
-        if (this.hosts[host]?.calls.hasRoom(scoring) === true) ends.push(await this.call(host, scoring, true))
+        if (this.hosts[host]?.calls.hasBackgroundCapacity(scoring) === true) ends.push(await this.call(host, scoring, true))
         else await pause(20)
       }
       return ends
--- a/test/support/targetEnds.ts
+++ b/test/support/targetEnds.ts
@@ -1,7 +1,7 @@
 /** The watch for ends of targets and what it holds back, as tests of calls and runs need them. */
 
-import { HeldRequests } from '../../src/actors/common/routes/heldRequests.ts'
-import { TargetEnds } from '../../src/actors/common/routes/targetEnds.ts'
+import { RequestQuarantine } from '../../src/actors/common/routes/requestQuarantine.ts'
+import { TargetCrashDetector } from '../../src/actors/common/routes/targetCrashDetector.ts'
 import type { TargetTable } from '../../src/actors/common/routes/targetTable.ts'
 import { GroupAppender } from '../../src/actors/common/store/groupAppender.ts'
 import type { TailListener } from '../../src/actors/common/store/keyedTail.ts'
@@ -14,8 +14,8 @@
 import { seededChance } from './manualClock.ts'
 import { MemoryKeyedLog } from './memoryKeyedLog.ts'
 
-export function watchEnds (targets: Pick<TargetTable, 'onGone'>, client: Pick<TargetClient, 'listens'>, clock: Clock, stateLog: StateLog = quietLog): TargetEnds {
-  return new TargetEnds({ targets, client, fingerprints: sha256Fingerprints, clock, metrics: quietMetrics, stateLog })
+export function watchEnds (targets: Pick<TargetTable, 'onGone'>, client: Pick<TargetClient, 'listens'>, clock: Clock, stateLog: StateLog = quietLog): TargetCrashDetector {
+  return new TargetCrashDetector({ targets, client, fingerprints: sha256Fingerprints, clock, metrics: quietMetrics, stateLog })
 }
 
 /** The topic as a host follows it: it has read what was written when `catchUp` is called. */
@@ -45,8 +45,8 @@
 }
 
 export interface Guards {
-  readonly ends: TargetEnds
-  readonly held: HeldRequests
+  readonly ends: TargetCrashDetector
+  readonly held: RequestQuarantine
   readonly followed: FollowedLog
 }
 
@@ -56,5 +56,5 @@
   const followed = new FollowedLog(log)
   const services = { clock, chance: seededChance(seed), metrics: quietMetrics, stateLog }
   const appender = new GroupAppender({ ...services, log }, { maxCallCharacters: 100_000 })
-  return { ends, followed, held: new HeldRequests({ ...services, ends, targets, topic: followed, appender, fingerprints: sha256Fingerprints, mechanisms: { ...allMechanisms, held_requests: held } }) }
+  return { ends, followed, held: new RequestQuarantine({ ...services, ends, targets, topic: followed, appender, fingerprints: sha256Fingerprints, mechanisms: { ...allMechanisms, held_requests: held } }) }
 }
