--- a/src/actors/common/duties/dutyLeaseManager.ts
+++ b/src/actors/common/duties/dutyLeaseManager.ts
@@ -17,7 +17,7 @@
 import type { FoldedDuty } from '../../../core/common/steps/stepFold.ts'
 import { tombstone } from '../../../core/common/keyedRecords.ts'
 import { claimRecord, releaseRecord, renewalRecord } from '../../../core/common/steps/stepRecords.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import { pause } from '../../../ports/common/clock.ts'
 import type { KeyedLog } from '../../../ports/common/keyedLog.ts'
 import type { StateLog } from '../../../ports/common/observation.ts'
@@ -38,7 +38,7 @@
   readonly source: DutyTopic
   readonly log: KeyedLog
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly stateLog: StateLog
   /** Requests a liveness probe of a host. */
   readonly doubt: (holder: string) => void
--- a/src/actors/common/identity/callerAuthenticator.ts
+++ b/src/actors/common/identity/callerAuthenticator.ts
@@ -10,7 +10,7 @@
 import type { CallerIdentity, PresentedKey } from '../../../core/common/identity/workspaces.ts'
 import type { RouteTable } from '../../../core/common/routes/routeConfiguration.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
-import { nowOf } from '../../../ports/common/clock.ts'
+import { currentInstant } from '../../../ports/common/clock.ts'
 
 /** The view of the operator's topic that authentication needs. */
 export interface ConfigurationSource {
@@ -59,7 +59,7 @@
 
   private decide (key: PresentedKey, isPublic: boolean): ReturnType<typeof decideAccess> {
     const { operator, clock } = this.services
-    return decideAccess({ key, isPublic, keys: operator.routes?.keys, readAt: operator.readAt, now: nowOf(clock), revocationMs: this.settings.maxRevocationDelayMs })
+    return decideAccess({ key, isPublic, keys: operator.routes?.keys, readAt: operator.readAt, now: currentInstant(clock), revocationMs: this.settings.maxRevocationDelayMs })
   }
 
   private staleFailure (why: string): Failure {
--- a/src/actors/common/log/checkpointer.ts
+++ b/src/actors/common/log/checkpointer.ts
@@ -5,7 +5,7 @@
  * other entry.
  */
 
-import type { Clock, Chance } from '../../../ports/common/clock.ts'
+import type { Clock, RandomSource } from '../../../ports/common/clock.ts'
 import { encodeCheckpoint } from '../../../core/common/fold/checkpoint.ts'
 import { snapshot } from '../../../core/common/fold/fold.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
@@ -23,7 +23,7 @@
   readonly log: Log
   readonly hash: Hash
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
   readonly stateLog: StateLog
 }
--- a/src/actors/common/membership/membership.ts
+++ b/src/actors/common/membership/membership.ts
@@ -5,7 +5,7 @@
  * pressure of shards.
  */
 
-import type { HostId, Place, ShardKey } from '../../../base/common/ids.ts'
+import type { HostId, FailureDomain, ShardKey } from '../../../base/common/ids.ts'
 import type { Disposable, Event } from '../../../base/common/lifecycle.ts'
 import { Emitter, toDisposable } from '../../../base/common/lifecycle.ts'
 import { unreachable } from '../../../base/common/exhaustive.ts'
@@ -14,7 +14,7 @@
 import { MemberTable } from '../../../core/common/membership/memberTable.ts'
 import type { StatusChange } from '../../../core/common/membership/statusLines.ts'
 import { summarizeStatusChanges } from '../../../core/common/membership/statusLines.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import type { PeerHandlers, Peers, ProbeMessage } from '../../../ports/common/peers.ts'
@@ -52,7 +52,7 @@
   readonly peers: Peers
   readonly handlers: PeerHandlers
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly hash: Hash
   readonly metrics: Metrics
   readonly stateLog: StateLog
@@ -146,8 +146,8 @@
 
   /** Returns whether all hosts of some other failure domain are unreachable. */
   isAnyFailureDomainLost (): boolean {
-    const reachableDomains = new Set<Place>()
-    const failureDomains = new Set<Place>()
+    const reachableDomains = new Set<FailureDomain>()
+    const failureDomains = new Set<FailureDomain>()
     for (const member of this.table.allMembers()) {
       failureDomains.add(member.place)
       if (member.status === 'alive' || member.status === 'leaving') reachableDomains.add(member.place)
@@ -342,7 +342,7 @@
   }
 }
 
-function shuffle<T> (items: readonly T[], chance: Chance): T[] {
+function shuffle<T> (items: readonly T[], chance: RandomSource): T[] {
   const result = [...items]
   for (let index = result.length - 1; index > 0; index--) {
     const other = Math.floor(chance.next() * (index + 1))
--- a/src/actors/common/operators/operatorService.ts
+++ b/src/actors/common/operators/operatorService.ts
@@ -10,7 +10,7 @@
 import type { Row } from '../../../core/common/language/rows.ts'
 import { filterRows } from '../../../core/common/language/rows.ts'
 import type { ShowStatement } from '../../../core/common/language/statement.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import { pause } from '../../../ports/common/clock.ts'
 import type { PeerHandlers, Peers } from '../../../ports/common/peers.ts'
 import type { Appender } from '../log/appender.ts'
@@ -60,7 +60,7 @@
   readonly peers: Peers
   readonly handlers: PeerHandlers
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
 }
 
 const PEER_QUERY_TIMEOUT_MS = 1000
--- a/src/actors/common/requests/serviceCalls.ts
+++ b/src/actors/common/requests/serviceCalls.ts
@@ -13,9 +13,9 @@
 import type { Outcome, RecordOf } from '../../../core/common/fold/records.ts'
 import type { RetryBudget } from '../../../core/common/requests/retryBudget.ts'
 import { mayRetry } from '../../../core/common/requests/retryPolicy.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
-import type { Service, ServiceAnswer } from '../../../ports/common/targets.ts'
+import type { Service, ServiceResponse } from '../../../ports/common/targets.ts'
 import type { Appender } from '../log/appender.ts'
 import type { FoldView } from '../log/controlLog.ts'
 import type { MembershipView } from '../membership/membership.ts'
@@ -45,7 +45,7 @@
   readonly membership: Pick<MembershipView, 'members'>
   readonly budget: RetryBudget
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
 }
 
@@ -83,7 +83,7 @@
   constructor (private readonly services: ServiceCallServices, private readonly settings: ServiceCallSettings) {}
 
   /** Runs an idempotent call, with retries. */
-  async run (request: ServiceRequest): Promise<Result<ServiceAnswer>> {
+  async run (request: ServiceRequest): Promise<Result<ServiceResponse>> {
     const exclude: TargetName[] = []
     for (let attempts = 1; ; attempts++) {
       const outcome = await this.withGrant(request, exclude, async (grant) => await this.send(request, grant, false))
@@ -101,19 +101,19 @@
    * Runs a call that must not be repeated and has no id. A repeat by the caller cannot be recognized,
    * so the only guarantee is that this host sends the call once.
    */
-  async runWithoutId (request: ServiceRequest): Promise<Result<ServiceAnswer>> {
+  async runWithoutId (request: ServiceRequest): Promise<Result<ServiceResponse>> {
     return await this.withGrant(request, [], async (grant) => await this.send(request, grant, true))
   }
 
   /** Runs a once-only call, or returns the result of the attempt that already claimed its id. */
-  async runOnce (request: OnceOnlyRequest): Promise<Result<ServiceAnswer>> {
+  async runOnce (request: OnceOnlyRequest): Promise<Result<ServiceResponse>> {
     const known = this.findKnownResult(request)
     if (known !== undefined) return known
     return await this.withGrant(request, [], async (grant) => await this.claimAndSend(request, grant))
   }
 
   /** Returns the known result for a request id; `undefined` if the id may be claimed. */
-  private findKnownResult (request: OnceOnlyRequest): Result<ServiceAnswer> | undefined {
+  private findKnownResult (request: OnceOnlyRequest): Result<ServiceResponse> | undefined {
     const { state } = this.services.fold
     const outside = checkIssueTime(request.issuedAt, claimContext(state))
     if (outside !== undefined) return outside
@@ -121,7 +121,7 @@
     return claim?.attempt === undefined ? undefined : this.resultOfClaim(claim)
   }
 
-  private resultOfClaim (claim: Claim): Result<ServiceAnswer> {
+  private resultOfClaim (claim: Claim): Result<ServiceResponse> {
     if (claim.outcome !== undefined) return resultOfOutcome(claim.outcome)
     const holder = this.services.membership.members().find((member) => member.host === claim.holder)
     const holderGone = holder === undefined || holder.status === 'dead'
@@ -130,7 +130,7 @@
       : failure('inProgress', 'another attempt with this id is in progress', { retryAfterMs: RETRY_AFTER_MS })
   }
 
-  private async withGrant (request: ServiceRequest, exclude: TargetName[], use: (grant: HeldGrant) => Promise<Result<ServiceAnswer>>): Promise<Result<ServiceAnswer>> {
+  private async withGrant (request: ServiceRequest, exclude: TargetName[], use: (grant: HeldGrant) => Promise<Result<ServiceResponse>>): Promise<Result<ServiceResponse>> {
     const grant = await this.services.grants.acquire(interactiveGrantRequest(request, exclude))
     if (!grant.ok) return grant
     try {
@@ -143,7 +143,7 @@
     }
   }
 
-  private async send (request: ServiceRequest, grant: HeldGrant, once: boolean): Promise<Result<ServiceAnswer>> {
+  private async send (request: ServiceRequest, grant: HeldGrant, once: boolean): Promise<Result<ServiceResponse>> {
     const timeoutMs = request.deadline - this.services.clock.monotonic()
     if (timeoutMs <= 0) return failure('deadlineExceeded', 'the deadline passed before the call was sent')
     return await this.services.service.call(grant.address, {
@@ -157,7 +157,7 @@
     })
   }
 
-  private async claimAndSend (request: OnceOnlyRequest, grant: HeldGrant): Promise<Result<ServiceAnswer>> {
+  private async claimAndSend (request: OnceOnlyRequest, grant: HeldGrant): Promise<Result<ServiceResponse>> {
     const attempt = new Attempt(this.services.chance.id())
     const claimed = await this.claim(request, attempt)
     if (!claimed.ok) return claimed
@@ -207,7 +207,7 @@
     return resultCodes[reason.code].effect === 'not-run' ? reason : failure('repeatLater', reason.message, { retryAfterMs: RETRY_AFTER_MS })
   }
 
-  private persistOutcome (request: OnceOnlyRequest, attempt: Attempt, outcome: Result<ServiceAnswer>): Result<ServiceAnswer> {
+  private persistOutcome (request: OnceOnlyRequest, attempt: Attempt, outcome: Result<ServiceResponse>): Result<ServiceResponse> {
     const notRun = !outcome.ok && resultCodes[outcome.code].effect === 'not-run'
     const record: RecordOf<'release'> | RecordOf<'outcome'> = notRun
       ? { kind: 'release', ...this.recordBase(), ...claimFields(request, attempt) }
@@ -226,12 +226,12 @@
   return { caller: request.caller, request: request.id, attempt: attempt.id, issuedAt: request.issuedAt }
 }
 
-function storedOutcome (answer: ServiceAnswer): Outcome {
+function storedOutcome (answer: ServiceResponse): Outcome {
   const truncated = answer.body.length > MAX_STORED_BODY_CHARACTERS
   return { state: 'answered', status: answer.status, contentType: answer.contentType.slice(0, 200), body: truncated ? '' : answer.body, truncated }
 }
 
-function resultOfOutcome (outcome: Outcome): Result<ServiceAnswer> {
+function resultOfOutcome (outcome: Outcome): Result<ServiceResponse> {
   if (outcome.state === 'unknown') return failure('unknownOutcome', 'the call was sent and no answer was received')
   if (outcome.truncated) return failure('unknownOutcome', `the call ran and was answered with status ${outcome.status}; the answer exceeded ${MAX_STORED_BODY_CHARACTERS} characters and was not stored`)
   return success({ status: outcome.status, contentType: outcome.contentType, body: outcome.body })
--- a/src/actors/common/routes/requestQuarantine.ts
+++ b/src/actors/common/routes/requestQuarantine.ts
@@ -10,7 +10,7 @@
 import type { RequestFingerprint } from '../../../base/common/ids.ts'
 import type { Failure } from '../../../base/common/resultCode.ts'
 import { failure } from '../../../base/common/resultCode.ts'
-import { targetLife } from '../../../base/common/ids.ts'
+import { targetIncarnationId } from '../../../base/common/ids.ts'
 import type { HoldState } from '../../../core/common/routes/heldRequestFold.ts'
 import { HeldRequestFold } from '../../../core/common/routes/heldRequestFold.ts'
 import { requestClearedRecord, targetEndedRecord, trialRecord } from '../../../core/common/routes/heldRequestRecords.ts'
@@ -18,7 +18,7 @@
 import type { Route } from '../../../core/common/routes/routeConfiguration.ts'
 import type { TargetDefinition } from '../../../core/common/routes/target.ts'
 import { tombstone } from '../../../core/common/keyedRecords.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Fingerprints, RequestContent } from '../../../ports/common/fingerprints.ts'
 import type { KeyedEntry } from '../../../ports/common/keyedLog.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
@@ -47,7 +47,7 @@
   readonly appender: Pick<GroupAppender, 'append'>
   readonly fingerprints: Fingerprints
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
   readonly stateLog: StateLog
   readonly mechanisms: Pick<Mechanisms, 'held_requests'>
@@ -127,7 +127,7 @@
 
   /** Whether no host has seen this incarnation of the target crash. The entry of a crashed target remains for seconds. */
   isPresumedLive ({ id, incarnation }: TargetDefinition): boolean {
-    return !this.fold.hasEnded(targetLife(id, incarnation))
+    return !this.fold.hasEnded(targetIncarnationId(id, incarnation))
   }
 
   /** Keys of records that are past the retention period. */
--- a/src/actors/common/routes/routeCalls.ts
+++ b/src/actors/common/routes/routeCalls.ts
@@ -14,7 +14,7 @@
 import { isSaturated, hedgeDelayMs } from '../../../core/common/routes/hedging.ts'
 import { chooseTarget } from '../../../core/common/routes/targetChoice.ts'
 import type { RequestContent } from '../../../ports/common/fingerprints.ts'
-import type { TargetAnswer } from '../../../ports/common/targetClient.ts'
+import type { TargetResponse } from '../../../ports/common/targetClient.ts'
 import type { Admission, Trial } from './requestQuarantine.ts'
 import { requestHeldFailure } from './requestQuarantine.ts'
 import type { RouteCallServices, RoutedAnswer, RoutedRequest } from './routedRequest.ts'
@@ -239,7 +239,7 @@
     this.startAttempt(next, true)
   }
 
-  private onAttemptEnded (attempt: Attempt, result: Result<TargetAnswer>): void {
+  private onAttemptEnded (attempt: Attempt, result: Result<TargetResponse>): void {
     const { target, known } = attempt
     const tookMs = this.services.clock.monotonic() - attempt.beganAt
     releaseSlot(attempt)
@@ -256,7 +256,7 @@
       return this.continueAfterFailure(result.message)
     }
     attempt.run.finish()
-    const head = this.services.protocol.answerHead(result.value.status, result.value.headers)
+    const head = this.services.protocol.responseHead(result.value.status, result.value.headers)
     if (head.load !== undefined) target.recordLoad(head.load)
     const answer: RoutedAnswer = { answer: result.value, target: target.definition.id, failures: this.failures }
     const verdict = classifyAnswer(head, this.request.requestId)
@@ -280,7 +280,7 @@
       case 'unusable':
         target.recordFailure()
         this.services.metrics.count('calls.unusable_answer')
-        this.services.client.distrust(target.definition.address)
+        this.services.client.retireConnections(target.definition.address)
         return this.continueAfterFailure('the answer was not usable')
     }
   }
@@ -334,7 +334,7 @@
       this.attemptSummaries.push(`${attempt.target.definition.id}:${attempt.known}:ended`)
       if (this.services.mechanisms.silence_suspicion && (why === 'timeout' || now - attempt.beganAt > UNRESPONSIVE_AFTER_MS)) recordNoAnswer(attempt)
       // The other reused connections to the target are presumed silent too. If no new connection answered sooner, the target is slow, and closing its connections for each late request would only cost new ones.
-      if (!attempt.fresh && why !== 'other') this.services.client.distrust(attempt.target.definition.address, now - attempt.beganAt)
+      if (!attempt.fresh && why !== 'other') this.services.client.retireConnections(attempt.target.definition.address, now - attempt.beganAt)
       attempt.abort.abort()
       attempt.run.finish()
       // The client may settle an aborted request hundreds of ms later, once it closes the connection; until then the slot would keep background calls out.
--- a/src/actors/common/routes/routedRequest.ts
+++ b/src/actors/common/routes/routedRequest.ts
@@ -3,11 +3,11 @@
 import type { WorkspaceName } from '../../../base/common/ids.ts'
 import type { Mechanisms } from '../../../core/common/mechanisms.ts'
 import type { Route } from '../../../core/common/routes/routeConfiguration.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { RequestContent } from '../../../ports/common/fingerprints.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
-import type { OutgoingOptions, TargetProtocol } from '../../../ports/common/protocols.ts'
-import type { TargetAnswer, TargetClient } from '../../../ports/common/targetClient.ts'
+import type { TargetRequestOptions, TargetProtocol } from '../../../ports/common/protocols.ts'
+import type { TargetResponse, TargetClient } from '../../../ports/common/targetClient.ts'
 import type { RequestQuarantine } from './requestQuarantine.ts'
 import type { TargetCrashDetector } from './targetCrashDetector.ts'
 import type { TargetTable } from './targetTable.ts'
@@ -17,7 +17,7 @@
   readonly requestId: string | undefined
   readonly method: string
   readonly path: string
-  readonly headers: (options: OutgoingOptions) => string[]
+  readonly headers: (options: TargetRequestOptions) => string[]
   readonly body: Uint8Array | undefined
   /** How long the caller waits from now on. */
   readonly waitMs: number
@@ -34,7 +34,7 @@
 }
 
 export interface RoutedAnswer {
-  readonly answer: TargetAnswer
+  readonly answer: TargetResponse
   readonly target: string
   /** Number of answers in which a target reported its own failure, including this one. */
   readonly failures: number
@@ -52,7 +52,7 @@
   readonly held: RequestQuarantine
   readonly protocol: TargetProtocol
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
   readonly stateLog: StateLog
   /** Absent if usage is not reported. */
--- a/src/actors/common/routes/streamCalls.ts
+++ b/src/actors/common/routes/streamCalls.ts
@@ -167,8 +167,8 @@
         signal: AbortSignal.any([request.gone, silenceAbort.signal])
       })
       if (!opened.ok) return reusesConnection && silenceAbort.signal.aborted ? this.onSilentConnection(target, run, silenceTimeoutMs) : await this.onFailedRun(target, run, opened.code === 'targetUnreachable' ? 'not-run' : 'broke')
-      const { status, headers, pieces, cancel } = opened.value
-      const head = protocol.answerHead(status, headers)
+      const { status, headers, pieces: chunks, cancel } = opened.value
+      const head = protocol.responseHead(status, headers)
       if (head.load !== undefined) target.recordLoad(head.load)
       const verdict = classifyAnswer(head, request.requestId)
       if (verdict === 'not-run' || verdict === 'unusable' || (this.headSent && verdict !== 'answer')) {
@@ -182,7 +182,7 @@
       }
       this.headSent = true
       const reader = new ServerSentEventReader()
-      for await (const piece of pieces) {
+      for await (const piece of chunks) {
         timer.dispose()
         await this.forwardEvents(reader.push(piece))
         timer = clock.after(silenceTimeoutMs, () => { silenceAbort.abort() })
@@ -250,7 +250,7 @@
   private onSilentConnection (target: KnownTarget, run: RunTracker, silentMs: number): RunOutcome {
     run.finish()
     if (this.request.gone.aborted) return 'gone'
-    this.services.client.distrust(target.definition.address, silentMs)
+    this.services.client.retireConnections(target.definition.address, silentMs)
     target.recordSilence()
     this.hadSilentConnection = true
     this.mayHaveRun = true
--- a/src/actors/common/routes/targetCrashDetector.ts
+++ b/src/actors/common/routes/targetCrashDetector.ts
@@ -7,8 +7,8 @@
 
 import type { Disposable, Event } from '../../../base/common/lifecycle.ts'
 import { Emitter } from '../../../base/common/lifecycle.ts'
-import { targetLife } from '../../../base/common/ids.ts'
-import type { RequestFingerprint, TargetLife } from '../../../base/common/ids.ts'
+import { targetIncarnationId } from '../../../base/common/ids.ts'
+import type { RequestFingerprint, TargetIncarnationId } from '../../../base/common/ids.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { Fingerprints, RequestContent } from '../../../ports/common/fingerprints.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
@@ -17,7 +17,7 @@
 
 /** A crashed target process, with the fingerprints of the requests that ran there unanswered. */
 export interface TargetCrash {
-  readonly instance: TargetLife
+  readonly instance: TargetIncarnationId
   readonly under: readonly RequestFingerprint[]
 }
 
@@ -134,7 +134,7 @@
     const runs = affected.filter((run) => run.beganAt <= brokeAt && !this.isCountedAlready(run))
     if (runs.length === 0) return true
     const { id, incarnation, service, address } = target.definition
-    const crashedInstance = targetLife(id, incarnation)
+    const crashedInstance = targetIncarnationId(id, incarnation)
     const under = [...new Set(runs.map(({ content }) => this.services.fingerprints.of(content)))]
     this.services.metrics.count('targets.ended')
     this.services.stateLog.decided('target ended under requests', { target: crashedInstance, service, address, requests: runs.slice(0, MAX_LOGGED_REQUESTS).map(({ requestId }) => requestId).join(' '), fingerprints: under.slice(0, MAX_LOGGED_REQUESTS).join(' '), underWay: runs.length })
--- a/src/actors/common/routing/grantClient.ts
+++ b/src/actors/common/routing/grantClient.ts
@@ -6,18 +6,18 @@
  * until its deadline, so it is sent to the new home as soon as the membership of this host names one.
  */
 
-import type { HostId, Place, PoolName, ShardKey, TargetName } from '../../../base/common/ids.ts'
-import { shardParts } from '../../../base/common/ids.ts'
+import type { HostId, FailureDomain, PoolName, ShardKey, TargetName } from '../../../base/common/ids.ts'
+import { parseShardKey } from '../../../base/common/ids.ts'
 import type { Disposable } from '../../../base/common/lifecycle.ts'
 import { DisposableStore, toDisposable } from '../../../base/common/lifecycle.ts'
 import type { Failure, Result } from '../../../base/common/resultCode.ts'
 import { failure, success } from '../../../base/common/resultCode.ts'
 import type { AcquireRequest, Grant } from '../../../core/common/routing/admissionMessages.ts'
 import { orderShards } from '../../../core/common/routing/shardChoice.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import { pause } from '../../../ports/common/clock.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
-import type { AcquireAnswer, PeerHandlers, Peers } from '../../../ports/common/peers.ts'
+import type { AcquireResponse, PeerHandlers, Peers } from '../../../ports/common/peers.ts'
 import type { MembershipView } from '../membership/membership.ts'
 import type { TargetDirectory } from '../targets/targetDirectory.ts'
 import type { HomeResolver } from './homeResolver.ts'
@@ -52,7 +52,7 @@
   readonly peers: Peers
   readonly handlers: PeerHandlers
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
 }
 
@@ -75,7 +75,7 @@
   private readonly receivedPressures = new Map<ShardKey, number>()
   private readonly disposables = new DisposableStore()
   private readonly host: HostId
-  private readonly place: Place
+  private readonly place: FailureDomain
 
   constructor (private readonly services: GrantClientServices, private readonly maxStartDelayMs: number) {
     this.host = services.membership.self.host
@@ -105,7 +105,7 @@
 
   private orderedShards (pool: PoolName): ShardKey[] {
     const shards = this.services.directory.shardsOf(pool)
-    const views = shards.map((shard) => ({ shard, place: shardParts(shard).place, pressure: this.pressureOf(shard) }))
+    const views = shards.map((shard) => ({ shard, place: parseShardKey(shard).place, pressure: this.pressureOf(shard) }))
     return orderShards(views, this.place, this.services.chance).map(({ shard }) => shard)
   }
 
@@ -167,7 +167,7 @@
   }
 
   /** Sends a request to the home of a shard. Resolves to `home-moved` if the home changes or does not answer, or if the request is cancelled. */
-  private async sendAcquire (shard: ShardKey, home: HostId, address: string, request: AcquireRequest, signal: AbortSignal | undefined): Promise<AcquireAnswer | 'home-moved'> {
+  private async sendAcquire (shard: ShardKey, home: HostId, address: string, request: AcquireRequest, signal: AbortSignal | undefined): Promise<AcquireResponse | 'home-moved'> {
     const pendingAnswer = home === this.host
       ? this.services.localAdmission.acquire(shard, request)
       : this.acquireFromPeer(shard, home, address, request)
@@ -187,7 +187,7 @@
     return answer
   }
 
-  private async acquireFromPeer (shard: ShardKey, home: HostId, address: string, request: AcquireRequest): Promise<AcquireAnswer | 'home-moved'> {
+  private async acquireFromPeer (shard: ShardKey, home: HostId, address: string, request: AcquireRequest): Promise<AcquireResponse | 'home-moved'> {
     const answer = await this.services.peers.call(address, 'admission.acquire', { shard, request }, request.maximumWaitMs + RPC_TIMEOUT_MARGIN_MS)
     if (answer.ok) return answer.value
     this.services.metrics.count('admission.home_silent')
@@ -195,7 +195,7 @@
     return 'home-moved'
   }
 
-  private handleAnswer (shard: ShardKey, request: AcquireRequest, answer: AcquireAnswer, revoked: boolean): Result<HeldGrant> {
+  private handleAnswer (shard: ShardKey, request: AcquireRequest, answer: AcquireResponse, revoked: boolean): Result<HeldGrant> {
     this.receivedPressures.set(shard, answer.pressure)
     if (answer.type === 'refused') return answer.reason
     const abortController = new AbortController()
--- a/src/actors/common/routing/homeResolver.ts
+++ b/src/actors/common/routing/homeResolver.ts
@@ -1,7 +1,7 @@
 /** Determines which host is the home of a shard, a subscription or the checkpoints, based on this host's view of the members. */
 
 import type { ShardKey, SubscriptionName } from '../../../base/common/ids.ts'
-import { shardParts } from '../../../base/common/ids.ts'
+import { parseShardKey } from '../../../base/common/ids.ts'
 import type { Member } from '../../../core/common/membership/memberTable.ts'
 import { findHome } from '../../../core/common/routing/rendezvous.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
@@ -12,7 +12,7 @@
 
   /** Returns the home of a shard, which admits requests to its targets and sends them orders. */
   homeOfShard (shard: ShardKey): Member | undefined {
-    return findHome(this.hash, `shard ${shard}`, this.candidates(), shardParts(shard).place)
+    return findHome(this.hash, `shard ${shard}`, this.candidates(), parseShardKey(shard).place)
   }
 
   /** Returns the home of a subscription, which starts its rollouts. */
--- a/src/actors/common/routing/shardAdmissionServer.ts
+++ b/src/actors/common/routing/shardAdmissionServer.ts
@@ -10,14 +10,14 @@
 import { ShardAdmission } from '../../../core/common/routing/shardAdmission.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
-import type { AcquireAnswer, PeerHandlers, Peers } from '../../../ports/common/peers.ts'
+import type { AcquireResponse, PeerHandlers, Peers } from '../../../ports/common/peers.ts'
 import type { FoldView } from '../log/controlLog.ts'
 import type { MembershipView } from '../membership/membership.ts'
 import type { TaskSystem } from '../task.ts'
 import { Task } from '../task.ts'
 import type { TargetDirectory } from '../targets/targetDirectory.ts'
 
-type Reply = (answer: AcquireAnswer) => void
+type Reply = (answer: AcquireResponse) => void
 
 type Message =
   | { readonly type: 'acquire', readonly shard: ShardKey, readonly request: AcquireRequest, readonly reply: Reply }
@@ -61,7 +61,7 @@
   }
 
   /** Requests a slot of a shard whose home is this host. */
-  async acquire (shard: ShardKey, request: AcquireRequest): Promise<AcquireAnswer> {
+  async acquire (shard: ShardKey, request: AcquireRequest): Promise<AcquireResponse> {
     return await new Promise((resolve) => { this.tell({ type: 'acquire', shard, request, reply: resolve }) })
   }
 
@@ -159,7 +159,7 @@
     }
   }
 
-  private sendReply (grant: string, answer: AcquireAnswer): void {
+  private sendReply (grant: string, answer: AcquireResponse): void {
     this.pendingReplies.get(grant)?.(answer)
     this.pendingReplies.delete(grant)
   }
--- a/src/actors/common/samples/payloadRefresher.ts
+++ b/src/actors/common/samples/payloadRefresher.ts
@@ -7,7 +7,7 @@
 import type { SubscriptionName } from '../../../base/common/ids.ts'
 import type { PayloadReference, RecordOf } from '../../../core/common/fold/records.ts'
 import type { Group, SubscriptionState } from '../../../core/common/fold/subscriptions.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
 import type { Appender } from '../log/appender.ts'
 import type { PayloadStore } from './payloadStore.ts'
@@ -16,7 +16,7 @@
   readonly payloads: PayloadStore
   readonly appender: Pick<Appender, 'persist'>
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
 }
 
--- a/src/actors/common/samples/rolloutRunner.ts
+++ b/src/actors/common/samples/rolloutRunner.ts
@@ -9,7 +9,7 @@
 import { failure, success } from '../../../base/common/resultCode.ts'
 import type { PayloadReference } from '../../../core/common/fold/records.ts'
 import type { RolloutProgress } from '../../../core/common/samples/rollout.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import { pause } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
@@ -41,7 +41,7 @@
   readonly payloads: PayloadStore
   readonly fold: FoldView
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly hash: Hash
   readonly metrics: Metrics
 }
--- a/src/actors/common/samples/sampleWriter.ts
+++ b/src/actors/common/samples/sampleWriter.ts
@@ -9,7 +9,7 @@
 import { unreachable } from '../../../base/common/exhaustive.ts'
 import type { Result } from '../../../base/common/resultCode.ts'
 import type { PayloadReference, RecordOf, Segment } from '../../../core/common/fold/records.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
 import type { PeerHandlers, Peers } from '../../../ports/common/peers.ts'
 import type { Appender } from '../log/appender.ts'
@@ -42,7 +42,7 @@
   readonly peers: Peers
   readonly handlers: PeerHandlers
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
 }
 
--- a/src/actors/common/samples/trainerService.ts
+++ b/src/actors/common/samples/trainerService.ts
@@ -7,7 +7,7 @@
 import { failure, success } from '../../../base/common/resultCode.ts'
 import type { Batch, SubscriptionState } from '../../../core/common/fold/subscriptions.ts'
 import type { RecordOf, Segment } from '../../../core/common/fold/records.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Appender } from '../log/appender.ts'
 import type { FoldView } from '../log/controlLog.ts'
@@ -53,7 +53,7 @@
   readonly appender: Pick<Appender, 'decide'>
   readonly payloads: PayloadStore
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly hash: Hash
 }
 
--- a/src/actors/common/steps/headStarts.ts
+++ b/src/actors/common/steps/headStarts.ts
@@ -190,7 +190,7 @@
         return engine.recordRefusal()
       case 'broken':
         engine.target.recordFailure()
-        return this.services.client.distrust(engine.target.definition.address)
+        return this.services.client.retireConnections(engine.target.definition.address)
       case 'moved':
       case 'too-old':
       case 'restarted':
--- a/src/actors/common/steps/itemRun.ts
+++ b/src/actors/common/steps/itemRun.ts
@@ -122,7 +122,7 @@
 
 async function readResponse (context: RunContext, stream: TargetStream): Promise<RunOutcome> {
   const { services, engine, item, text, options } = context
-  const head = services.protocol.answerHead(stream.status, stream.headers)
+  const head = services.protocol.responseHead(stream.status, stream.headers)
   const endRun = (ended: RunOutcome): RunOutcome => {
     stream.cancel()
     return ended
--- a/src/actors/common/steps/progressStore.ts
+++ b/src/actors/common/steps/progressStore.ts
@@ -3,11 +3,11 @@
 import type { ProgressPart, SavedText } from '../../../core/common/steps/progress.ts'
 import { PROGRESS_RETENTION_MS, progressRecords, parseProgress } from '../../../core/common/steps/progress.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
-import type { History } from '../../../ports/common/history.ts'
+import type { UnkeyedLog } from '../../../ports/common/unkeyedLog.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 
 export interface ProgressStoreServices {
-  readonly history: History
+  readonly history: UnkeyedLog
   readonly clock: Clock
   readonly metrics: Metrics
   readonly stateLog: StateLog
--- a/src/actors/common/steps/sampleScorer.ts
+++ b/src/actors/common/steps/sampleScorer.ts
@@ -99,7 +99,7 @@
     if (cancelled.aborted) return
     if (answer.ok) {
       const { status, headers } = answer.value.answer
-      const { seal } = protocol.answerHead(status, headers)
+      const { seal } = protocol.responseHead(status, headers)
       if (status >= MIN_SUCCESS_STATUS && status < SUCCESS_STATUS_END && seal !== undefined) return waiting.resolve({ type: 'scored', score: seal })
       waiting.failures += Math.max(1, answer.value.failures)
       if (waiting.failures >= route.attempts) return waiting.resolve({ type: 'gave-up' })
--- a/src/actors/common/steps/stepContents.ts
+++ b/src/actors/common/steps/stepContents.ts
@@ -13,7 +13,7 @@
 import type { ContentLocation, ItemPayload, ListedResult } from '../../../core/common/steps/step.ts'
 import type { FoldedStep } from '../../../core/common/steps/stepFold.ts'
 import { tombstone } from '../../../core/common/keyedRecords.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { KeyedLog, KeyedRecord, NewestPage } from '../../../ports/common/keyedLog.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import type { PeerContentReader } from './peerContentReader.ts'
@@ -25,7 +25,7 @@
   readonly appender: GroupAppender
   readonly peerContent: PeerContentReader
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
   readonly stateLog: StateLog
 }
--- a/src/actors/common/steps/stepScheduler.ts
+++ b/src/actors/common/steps/stepScheduler.ts
@@ -308,7 +308,7 @@
       case 'restarted': return this.requeue(work, itemWork, route.singleVersion)
       case 'broken':
         engine.target.recordFailure()
-        this.services.client.distrust(engine.target.definition.address)
+        this.services.client.retireConnections(engine.target.definition.address)
         return this.requeue(work, itemWork, route.singleVersion)
       case 'failed':
         itemWork.failures++
--- a/src/actors/common/store/groupAppender.ts
+++ b/src/actors/common/store/groupAppender.ts
@@ -7,7 +7,7 @@
 
 import type { Result } from '../../../base/common/resultCode.ts'
 import { failure, success } from '../../../base/common/resultCode.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { KeyedLog, KeyedRecord } from '../../../ports/common/keyedLog.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
 
@@ -17,7 +17,7 @@
 export interface GroupAppenderServices {
   readonly log: KeyedLog
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
 }
 
@@ -42,7 +42,7 @@
 const NONCE_LENGTH = 10
 
 /** Returns a random key part, so that a record does not replace another one by coincidence. */
-export function keyNonce (chance: Chance): string {
+export function keyNonce (chance: RandomSource): string {
   return chance.id().replaceAll('-', '').slice(0, NONCE_LENGTH)
 }
 
--- a/src/actors/common/store/keyedTail.ts
+++ b/src/actors/common/store/keyedTail.ts
@@ -9,7 +9,7 @@
 import { Emitter } from '../../../base/common/lifecycle.ts'
 import type { Instant } from '../../../base/common/instant.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
-import { nowOf } from '../../../ports/common/clock.ts'
+import { currentInstant } from '../../../ports/common/clock.ts'
 import type { KeyedEntry, KeyedLog } from '../../../ports/common/keyedLog.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import { loadNewest } from './newestRecords.ts'
@@ -132,7 +132,7 @@
 
   /** Reads the missing records without waiting. Returns true if all records older than this call are known afterwards. */
   async catchUp (): Promise<boolean> {
-    const sentAt = nowOf(this.services.clock)
+    const sentAt = currentInstant(this.services.clock)
     if (this.offset === undefined) return false
     const fromOffset = this.offset
     const page = await this.services.log.read(fromOffset, 0)
@@ -165,7 +165,7 @@
   }
 
   private async load (): Promise<boolean> {
-    const sentAt = nowOf(this.services.clock)
+    const sentAt = currentInstant(this.services.clock)
     const newest = await loadNewest(this.services.log)
     if (newest === undefined) return false
     const { entries, end, isComplete } = newest
@@ -180,7 +180,7 @@
 
   private async readNext (from: number): Promise<boolean> {
     this.readAbort = new AbortController()
-    const sentAt = nowOf(this.services.clock)
+    const sentAt = currentInstant(this.services.clock)
     const page = await this.services.log.read(from, this.mayHaveGap ? 0 : this.settings.longPollMs, this.readAbort.signal)
     if (!page.ok) return false
     if (page.value.type === 'forgotten') {
--- a/src/actors/common/targets/leaseHolder.ts
+++ b/src/actors/common/targets/leaseHolder.ts
@@ -10,7 +10,7 @@
 
 import type { HostId, ShardKey } from '../../../base/common/ids.ts'
 import type { RecordOf } from '../../../core/common/fold/records.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import type { Appender } from '../log/appender.ts'
 import type { FoldView } from '../log/controlLog.ts'
@@ -24,7 +24,7 @@
   readonly fold: FoldView
   readonly appender: Pick<Appender, 'decide'>
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
   readonly stateLog: StateLog
 }
--- a/src/actors/common/targets/targetDirectory.ts
+++ b/src/actors/common/targets/targetDirectory.ts
@@ -5,7 +5,7 @@
  */
 
 import type { PoolName, ShardKey, TargetName } from '../../../base/common/ids.ts'
-import { asPlace, asPoolName, asTargetName, shardKey } from '../../../base/common/ids.ts'
+import { asFailureDomain, asPoolName, asTargetName, shardKey } from '../../../base/common/ids.ts'
 import type { Event } from '../../../base/common/lifecycle.ts'
 import { Emitter } from '../../../base/common/lifecycle.ts'
 import type { ConfiguredObject } from '../../../core/common/fold/configuration.ts'
@@ -89,5 +89,5 @@
 }
 
 export function shardOf (target: ConfiguredObject<'target'>): ShardKey {
-  return shardKey(asPoolName(target.properties.pool), asPlace(target.properties.place))
+  return shardKey(asPoolName(target.properties.pool), asFailureDomain(target.properties.place))
 }
--- a/src/actors/common/usage/usageReporter.ts
+++ b/src/actors/common/usage/usageReporter.ts
@@ -10,7 +10,7 @@
 import { nextUsageAction, windowAt } from '../../../core/common/usage/usagePlan.ts'
 import { reportedRecord, sealRecord } from '../../../core/common/usage/usageRecords.ts'
 import { tombstone } from '../../../core/common/keyedRecords.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { KeyedLog } from '../../../ports/common/keyedLog.ts'
 import type { StateLog } from '../../../ports/common/observation.ts'
 import type { PlatformDuties } from '../../../ports/common/platformDuties.ts'
@@ -23,7 +23,7 @@
   readonly log: KeyedLog
   readonly duties: Pick<PlatformDuties, 'reportUsage'>
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly stateLog: StateLog
   /** Machine of this host, which is the name of the duty holder. */
   readonly machine: string
--- a/src/actors/common/weights/weightLoadController.ts
+++ b/src/actors/common/weights/weightLoadController.ts
@@ -16,7 +16,7 @@
 import { pause } from '../../../ports/common/clock.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import type { EngineState, OrderVerdict, SwapMode, TargetProtocol } from '../../../ports/common/protocols.ts'
-import type { TargetAnswer, TargetClient, TargetRequest } from '../../../ports/common/targetClient.ts'
+import type { TargetResponse, TargetClient, TargetRequest } from '../../../ports/common/targetClient.ts'
 import type { DutyLeaseManager } from '../duties/dutyLeaseManager.ts'
 import type { Engine, EngineRegistry } from '../steps/engineRegistry.ts'
 
@@ -167,7 +167,7 @@
         continue
       }
       if (engine.version(load.model) >= load.version) return undefined
-      if (!state.value.ordering) return state.value
+      if (!state.value.hasOrderInProgress) return state.value
       await pause(this.services.clock, REPORT_INTERVAL_MS)
     }
     return undefined
@@ -175,7 +175,7 @@
 
   private async sendOrder (engine: Engine, load: PlannedLoad, mode: SwapMode, ifSequence: number): Promise<OrderVerdict | 'no-answer'> {
     const { protocol, duty, machine, metrics } = this.services
-    const message = protocol.order({ named: { model: load.model, version: load.version }, mode, holder: machine, term: duty.term, ifSequence })
+    const message = protocol.order({ named: { model: load.model, version: load.version }, mode, holder: machine, term: duty.term, expectedSequence: ifSequence })
     metrics.count('orders.sent')
     const answer = await this.exchange(engine, { method: 'POST', path: message.path, headers: message.headers(engine.id), body: new TextEncoder().encode(message.body) }, RESPONSE_TIMEOUT_MS)
     return answer.ok ? protocol.orderVerdict(answer.value.status) : 'no-answer'
@@ -225,14 +225,14 @@
   }
 
   /** Sends a request to an engine. After a time-out, the pooled connections to the engine are no longer reused. */
-  private async exchange (engine: Engine, message: Pick<TargetRequest, 'method' | 'path' | 'headers' | 'body'>, timeoutMs: number): Promise<Result<TargetAnswer>> {
+  private async exchange (engine: Engine, message: Pick<TargetRequest, 'method' | 'path' | 'headers' | 'body'>, timeoutMs: number): Promise<Result<TargetResponse>> {
     const { client, clock } = this.services
     const { address } = engine.target.definition
     const timeout = new AbortController()
     const timer = clock.after(timeoutMs, () => { timeout.abort() })
     const answer = await client.exchange({ ...message, address, ownConnection: false, signal: timeout.signal })
     timer.dispose()
-    if (timeout.signal.aborted) client.distrust(address, timeoutMs)
+    if (timeout.signal.aborted) client.retireConnections(address, timeoutMs)
     return answer
   }
 }
--- a/src/adapters/node/keyedLogClient.ts
+++ b/src/adapters/node/keyedLogClient.ts
@@ -1,30 +1,30 @@
-/** A keyed topic over HTTP. */
+/** Accesses a keyed topic over HTTP. */
 
 import type { Result } from '../../base/common/resultCode.ts'
 import type { KeyedLog, KeyedPage, KeyedRecord, NewestPage } from '../../ports/common/keyedLog.ts'
 import type { KeyedLogProtocol } from '../../ports/common/protocols.ts'
-import type { StoreCaller } from './storeCaller.ts'
+import type { StoreClient } from './storeClient.ts'
 
 export class KeyedLogClient implements KeyedLog {
-  constructor (private readonly store: StoreCaller, private readonly protocol: KeyedLogProtocol, private readonly topic: string) {}
+  constructor (private readonly store: StoreClient, private readonly protocol: KeyedLogProtocol, private readonly topic: string) {}
 
   async append (records: readonly KeyedRecord[]): Promise<Result<number>> {
-    const answer = await this.store.send(this.protocol.append(this.topic, records))
-    return answer.ok ? this.protocol.appended(answer.value.status, answer.value.body) : answer
+    const response = await this.store.send(this.protocol.append(this.topic, records))
+    return response.ok ? this.protocol.decodeAppended(response.value.status, response.value.body) : response
   }
 
-  async read (from: number, waitMs: number, givenUp?: AbortSignal): Promise<Result<KeyedPage>> {
-    const answer = await this.store.send(this.protocol.read(this.topic, from, waitMs), waitMs, givenUp)
-    return answer.ok ? this.protocol.page(answer.value.status, answer.value.body, from) : answer
+  async read (from: number, waitMs: number, signal?: AbortSignal): Promise<Result<KeyedPage>> {
+    const response = await this.store.send(this.protocol.read(this.topic, from, waitMs), waitMs, signal)
+    return response.ok ? this.protocol.decodePage(response.value.status, response.value.body, from) : response
   }
 
   async readSome (from: number, kilobytes: number): Promise<Result<KeyedPage>> {
-    const answer = await this.store.send(this.protocol.read(this.topic, from, 0, kilobytes))
-    return answer.ok ? this.protocol.page(answer.value.status, answer.value.body, from) : answer
+    const response = await this.store.send(this.protocol.read(this.topic, from, 0, kilobytes))
+    return response.ok ? this.protocol.decodePage(response.value.status, response.value.body, from) : response
   }
 
   async newest (after: string | undefined): Promise<Result<NewestPage>> {
-    const answer = await this.store.send(this.protocol.newest(this.topic, after))
-    return answer.ok ? this.protocol.newestPage(answer.value.status, answer.value.body) : answer
+    const response = await this.store.send(this.protocol.newest(this.topic, after))
+    return response.ok ? this.protocol.decodeNewestPage(response.value.status, response.value.body) : response
   }
 }
--- a/src/adapters/node/nodeClock.ts
+++ b/src/adapters/node/nodeClock.ts
@@ -1,11 +1,11 @@
-/** Clock and chance of the Node process. */
+/** Clock and random source of the Node.js process. */
 
 import { randomInt, randomUUID } from 'node:crypto'
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator'
 import { xoroshiro128plus } from 'pure-rand/generator/XoroShiro'
 import type { Disposable } from '../../base/common/lifecycle.ts'
 import { toDisposable } from '../../base/common/lifecycle.ts'
-import type { Chance, Clock } from '../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../ports/common/clock.ts'
 
 export class NodeClock implements Clock {
   monotonic (): number {
@@ -29,7 +29,7 @@
 
 const TWO_TO_32 = 2 ** 32
 
-export class NodeChance implements Chance {
+export class NodeRandomSource implements RandomSource {
   private readonly generator: RandomGenerator
 
   constructor (seed: number = randomInt(2 ** 31)) {
--- a/src/adapters/node/standardOutput.ts
+++ b/src/adapters/node/standardOutput.ts
@@ -1,37 +1,37 @@
 /**
- * Standard output that never blocks. Node writes to a pipe synchronously, so a reader that stops
- * reading would stop the whole process; here one write at a time is handed to another thread, and
- * what comes meanwhile waits in memory.
+ * Writes to standard output without blocking. Node writes to pipes synchronously, so a reader that
+ * stops reading would block the whole process. Here, one write at a time runs on another thread, and
+ * lines that arrive in the meantime are buffered in memory.
  */
 
 import { write } from 'node:fs'
 import type { LineSink } from './structuredLog.ts'
 
-const STANDARD_OUTPUT = 1
-/** Time after a failed write, in milliseconds. */
-const RETRY_MS = 100
+const STANDARD_OUTPUT_DESCRIPTOR = 1
+/** Delay before a failed write is repeated. */
+const RETRY_DELAY_MS = 100
 
 export class StandardOutput implements LineSink {
   private waiting: string[] = []
-  private length = 0
+  private pendingCharacters = 0
   private writing = false
 
-  constructor (private readonly descriptor: number = STANDARD_OUTPUT) {}
+  constructor (private readonly descriptor: number = STANDARD_OUTPUT_DESCRIPTOR) {}
 
   get writableLength (): number {
-    return this.length
+    return this.pendingCharacters
   }
 
   write (line: string): void {
     this.waiting.push(line)
-    this.length += line.length
+    this.pendingCharacters += line.length
     this.flush()
   }
 
-  /** Resolves once everything is written, or after a time. */
+  /** Resolves once all lines are written, or after `timeoutMs`. */
   async drained (timeoutMs: number): Promise<void> {
     const until = performance.now() + timeoutMs
-    while (this.length > 0 && performance.now() < until) await new Promise((resolve) => setTimeout(resolve, 5))
+    while (this.pendingCharacters > 0 && performance.now() < until) await new Promise((resolve) => setTimeout(resolve, 5))
   }
 
   private flush (): void {
@@ -45,13 +45,13 @@
   private writeAll (bytes: Buffer, characters: number): void {
     write(this.descriptor, bytes, (error, written) => {
       if (error === null && written === bytes.length) {
-        this.length -= characters
+        this.pendingCharacters -= characters
         this.writing = false
         return this.flush()
       }
-      // A pipe that is full and does not block says EAGAIN; one without a reader fails for good, and its lines are left out by the log's bound.
+      // A full non-blocking pipe fails with EAGAIN. A pipe without a reader fails permanently; the log then drops lines at its buffer limit.
       if (error === null) this.writeAll(bytes.subarray(written), characters)
-      else setTimeout(() => { this.writeAll(bytes, characters) }, RETRY_MS).unref()
+      else setTimeout(() => { this.writeAll(bytes, characters) }, RETRY_DELAY_MS).unref()
     })
   }
 }
--- a/src/adapters/node/statsdMetrics.ts
+++ b/src/adapters/node/statsdMetrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters by hot-shots over UDP. The same numbers are kept in memory, so that `/v1/metrics` and
- * `show status` work where nothing listens.
+ * Sends metrics to a StatsD collector over UDP. Counters and gauges are also kept in memory, so that
+ * `/v1/metrics` and `show status` work without a collector.
  */
 
 import { StatsD } from 'hot-shots'
@@ -12,7 +12,7 @@
   private readonly counters = new Map<string, number>()
   private readonly gauges = new Map<string, number>()
 
-  /** @param address `IP:PORT` of the collector; absent where there is none. */
+  /** @param address `IP:PORT` of the collector; `undefined` if there is none */
   constructor (address: string | undefined, host: string) {
     if (address === undefined) return
     const at = address.lastIndexOf(':')
@@ -40,7 +40,7 @@
     this.client?.timing(name, milliseconds)
   }
 
-  /** All counters and gauges since the start. */
+  /** Returns the counters accumulated since the start and the current gauges. */
   values (): Record<string, number> {
     return Object.fromEntries([...this.counters, ...this.gauges])
   }
--- a/src/adapters/node/structuredLog.ts
+++ b/src/adapters/node/structuredLog.ts
@@ -1,32 +1,32 @@
 /**
- * Log lines by loglevel: one JSON object a line, written so that nothing ever waits for a reader.
- * Decisions on requests come as often as requests do; beyond a number of lines a second they are
- * left out and counted by event, so that a burst costs lines and not the requests that it consists
- * of. A host with more items under way may write more. What ends a request badly is left out later, and what became of a step
- * last of all: it is what somebody will ask about.
+ * Writes log lines as one JSON object per line, without ever waiting for a reader. Decision lines
+ * occur as often as requests, so they are rate-limited: lines above the limit are dropped and counted by
+ * event, so that a burst of requests costs log lines and not requests. The limit grows with the number of
+ * items in progress. Failures have a separate limit, and events that explain the outcome of a step the
+ * largest one, as they are needed for diagnosis.
  */
 
 import loglevel from 'loglevel'
 import type { DecidedEvent } from '../../base/common/logEvents.ts'
-import { decisiveEvents } from '../../base/common/logEvents.ts'
+import { highPriorityEvents } from '../../base/common/logEvents.ts'
 import type { LogDetails, StateLog } from '../../ports/common/observation.ts'
 
-/** Lines of decisions a second: a few times the requests that one small host serves. */
-const DECISIONS_PER_SECOND = 100
-/** Lines a second for each item under way: a second or more of run, and then the lines of its run's end and of its result. */
-const DECISIONS_PER_ITEM = 1
-/** Lines of decisions a second at most, however many items are under way: writing them stays a small part of what a busy host does. */
-const MOST_DECISIONS_PER_SECOND = 500
-/** Lines a second that are kept for what became of steps: some for each step, and one for each item that is lost with it. */
-const DECISIVE_PER_SECOND = 400
-/** Lines a second that are kept for decisions that explain a failure. */
-const FAILURES_PER_SECOND = 100
-/** Lines that wait for a reader, in characters: some seconds of the most lines. */
-const WAITING_CHARACTERS = 512 * 1024
+/** A few times the request rate of a small host. */
+const BASE_ROUTINE_LINES_PER_SECOND = 100
+/** An item runs for a second or more and then logs two lines: the end of its run and its result. */
+const ROUTINE_LINES_PER_SECOND_PER_ITEM = 1
+/** Upper bound regardless of the number of items, so that logging stays a small part of the load of a busy host. */
+const MAX_ROUTINE_LINES_PER_SECOND = 500
+/** Reserved for events about steps: a few lines for each step, and one for each of its items that is lost. */
+const MAX_HIGH_PRIORITY_LINES_PER_SECOND = 400
+/** Reserved for decisions that explain a failure. */
+const MAX_FAILURE_LINES_PER_SECOND = 100
+/** Limit of buffered output: a few seconds at the maximum line rate. */
+const MAX_UNREAD_CHARACTERS = 512 * 1024
 
-/** Where lines go: standard output, or what a test gives. */
+/** Destination of log lines: standard output, or a test double. */
 export interface LineSink {
-  /** Characters that were written and that nobody has read. */
+  /** Number of characters that were written but not yet read. */
   readonly writableLength: number
   write (line: string): void
 }
@@ -34,13 +34,13 @@
 export class StructuredLog implements StateLog {
   private readonly logger: loglevel.Logger
   private second = 0
-  private usual = 0
-  private failures = 0
-  private decisive = 0
-  private allowed = DECISIONS_PER_SECOND
+  private routineLines = 0
+  private failureLines = 0
+  private highPriorityLines = 0
+  private routineLineLimit = BASE_ROUTINE_LINES_PER_SECOND
   private dropped = new Map<string, number>()
 
-  constructor (private readonly host: string, level: 'silent' | 'warn' | 'info', private readonly sink: LineSink = process.stdout, private readonly itemsUnderway: () => number = () => 0) {
+  constructor (private readonly host: string, level: 'silent' | 'warn' | 'info', private readonly sink: LineSink = process.stdout, private readonly itemsInProgress: () => number = () => 0) {
     this.logger = loglevel.getLogger(`bulrushvalve ${host}`)
     this.logger.methodFactory = () => (line: string) => { this.write(line) }
     this.logger.setLevel(level, false)
@@ -55,39 +55,39 @@
   }
 
   decided (what: DecidedEvent, details: LogDetails): void {
-    this.turnSecond()
-    if (!this.takePlace(decisiveEvents.has(what), details.failed === true)) return this.drop(what)
+    this.startNewSecond()
+    if (!this.tryCountLine(highPriorityEvents.has(what), details.failed === true)) return this.countDropped(what)
     this.logger.info(this.line('decided', what, details))
   }
 
-  /** Counts a line, decisive ones beside all others; false where its kind has no more this second. */
-  private takePlace (decisive: boolean, failed: boolean): boolean {
-    if (decisive) return ++this.decisive <= DECISIVE_PER_SECOND
-    if (failed) return ++this.failures <= FAILURES_PER_SECOND
-    return ++this.usual <= this.allowed
+  /** Counts a line against the limit of its kind; returns false if that limit is used up for this second. */
+  private tryCountLine (isHighPriority: boolean, isFailure: boolean): boolean {
+    if (isHighPriority) return ++this.highPriorityLines <= MAX_HIGH_PRIORITY_LINES_PER_SECOND
+    if (isFailure) return ++this.failureLines <= MAX_FAILURE_LINES_PER_SECOND
+    return ++this.routineLines <= this.routineLineLimit
   }
 
-  private turnSecond (): void {
+  private startNewSecond (): void {
     const second = Math.floor(performance.now() / 1000)
     if (second === this.second) return
     this.second = second
-    this.usual = 0
-    this.failures = 0
-    this.decisive = 0
-    this.allowed = Math.min(MOST_DECISIONS_PER_SECOND, DECISIONS_PER_SECOND + this.itemsUnderway() * DECISIONS_PER_ITEM)
+    this.routineLines = 0
+    this.failureLines = 0
+    this.highPriorityLines = 0
+    this.routineLineLimit = Math.min(MAX_ROUTINE_LINES_PER_SECOND, BASE_ROUTINE_LINES_PER_SECOND + this.itemsInProgress() * ROUTINE_LINES_PER_SECOND_PER_ITEM)
     if (this.dropped.size === 0) return
     const dropped = Object.fromEntries(this.dropped)
     this.dropped = new Map()
     this.changed('log lines dropped', dropped)
   }
 
-  private drop (what: string): void {
+  private countDropped (what: string): void {
     this.dropped.set(what, (this.dropped.get(what) ?? 0) + 1)
   }
 
-  /** A pipe that nobody reads would take memory without end; beyond a bound lines are left out. */
+  /** Drops lines above the buffer limit, as a pipe without a reader would otherwise consume memory without bound. */
   private write (line: string): void {
-    if (this.sink.writableLength > WAITING_CHARACTERS) this.drop('unread')
+    if (this.sink.writableLength > MAX_UNREAD_CHARACTERS) this.countDropped('unread')
     else this.sink.write(`${line}\n`)
   }
 
--- a/src/adapters/node/xxHash.ts
+++ b/src/adapters/node/xxHash.ts
@@ -1,11 +1,11 @@
-/** Hashing by xxhash. */
+/** Computes hashes with xxHash. */
 
 import xxhash from 'xxhash-wasm'
 import type { Hash } from '../../ports/common/hash.ts'
 
 const DIGEST_LENGTH = 16
 
-/** Starts the library; the result hashes synchronously. */
+/** Loads the WebAssembly library asynchronously; the returned hash functions are synchronous. */
 export async function createHash (): Promise<Hash> {
   const library = await xxhash()
   return {
--- a/src/base/common/exhaustive.ts
+++ b/src/base/common/exhaustive.ts
@@ -1,6 +1,6 @@
-/** Helper that makes a switch over a discriminated union exhaustive at compile time. */
+/** Compile-time check that a switch over a discriminated union is exhaustive. */
 
-/** Stands in the default branch of a switch; reaching it is a programming error. */
+/** Marks the default branch of an exhaustive switch; reaching it at run time is a programming error. */
 export function unreachable (value: never): never {
   throw new Error(`unexpected variant: ${JSON.stringify(value)}`)
 }
--- a/src/base/common/instant.ts
+++ b/src/base/common/instant.ts
@@ -1,18 +1,18 @@
 /**
- * Moments that are told by two clocks, to know for sure how long ago something was. The monotonic clock stands still while the
- * machine is suspended, the time of day may be set. Where they disagree nothing is known of the time between.
+ * Points in time measured by two clocks, to determine reliably how much time has elapsed. The monotonic clock stops while the
+ * machine is suspended, and the wall clock may be set. If the two disagree, the elapsed time is unknown.
  */
 
-/** A moment on both clocks of one host, in milliseconds. */
+/** A point in time on both clocks of one host, in milliseconds. */
 export interface Instant {
   readonly monotonic: number
   readonly wall: number
 }
 
-/** Difference of the clocks that is not taken for a suspension or for a clock that was set, in milliseconds. */
+/** Largest difference between the clocks that does not count as a suspension or a change of the wall clock. */
 export const CLOCK_TOLERANCE_MS = 100
 
-/** Milliseconds between two moments; infinite where the clocks do not agree on it. */
+/** Returns the milliseconds between two instants, or infinity if the clocks disagree. */
 export function elapsedMs (since: Instant | undefined, now: Instant): number {
   if (since === undefined) return Number.POSITIVE_INFINITY
   const monotonic = now.monotonic - since.monotonic
@@ -20,7 +20,7 @@
   return Math.abs(wall - monotonic) > CLOCK_TOLERANCE_MS ? Number.POSITIVE_INFINITY : Math.max(monotonic, wall)
 }
 
-/** Whether a moment is surely no longer ago than a bound, which covers what the clocks may differ unnoticed. */
+/** Whether an instant is certainly no longer ago than `boundMs`, allowing for an undetected difference between the clocks. */
 export function isWithin (boundMs: number, since: Instant | undefined, now: Instant): boolean {
   return elapsedMs(since, now) <= boundMs - CLOCK_TOLERANCE_MS
 }
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -1,14 +1,14 @@
 /**
- * Lifetimes and events: whatever holds a timer, a socket or a listener is a `Disposable`, and its
- * owner disposes of it.
+ * Lifecycle and events. An object that holds a timer, a socket or a listener is a `Disposable`, and its
+ * owner must dispose of it.
  */
 
-/** Something that must be released by its owner, once. */
+/** An object whose resources must be released once by its owner. */
 export interface Disposable {
   dispose (): void
 }
 
-/** Wraps a function as a disposable that runs it at most once. */
+/** Creates a disposable that calls a function at most once. */
 export function toDisposable (release: () => void): Disposable {
   let released = false
   return {
@@ -20,12 +20,12 @@
   }
 }
 
-/** A set of disposables that are released together, last first. */
+/** A collection of disposables that are disposed of together, in reverse order. */
 export class DisposableStore implements Disposable {
   private readonly items: Disposable[] = []
   private disposed = false
 
-  /** Adds an item and returns it; an item added after disposal is released at once. */
+  /** Adds an item and returns it; an item added after disposal is disposed of immediately. */
   add<T extends Disposable> (item: T): T {
     if (this.disposed) item.dispose()
     else this.items.push(item)
@@ -38,10 +38,10 @@
   }
 }
 
-/** Subscribes a listener; the result ends the subscription. */
+/** Subscribes a listener; disposing of the result unsubscribes it. */
 export type Event<T> = (listener: (value: T) => void) => Disposable
 
-/** Source of an event. */
+/** Emits an event to its subscribers. */
 export class Emitter<T> implements Disposable {
   private readonly listeners = new Set<(value: T) => void>()
 
@@ -50,7 +50,7 @@
     return toDisposable(() => this.listeners.delete(listener))
   }
 
-  /** Calls all listeners in the order in which they subscribed. */
+  /** Calls all listeners in the order of their subscription. */
   fire (value: T): void {
     for (const listener of [...this.listeners]) listener(value)
   }
--- a/src/commandLine/node/explainCommand.ts
+++ b/src/commandLine/node/explainCommand.ts
@@ -1,4 +1,4 @@
-/** `explain` reads log files and prints the story of an id; `losses` ranks what of their steps was late. */
+/** Implements `explain`, which shows the events of an id from log files, and `losses`, which ranks the delays of steps. */
 
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
@@ -9,43 +9,43 @@
 import { formatLosses, analyzeLosses } from '../../core/common/explanation/losses.ts'
 import { formatStepSummary, summarizeSteps } from '../../core/common/explanation/stepSummary.ts'
 
-/** Reads files and gives the story of a request, an item or a step as text; that of a step begins with its account. */
+/** Reads log files and formats the events of a request, an item or a step. Those of a step are preceded by a summary of its time. */
 export async function explainFromFiles (id: string, files: readonly string[]): Promise<Result<string>> {
-  const read = await readFiles(files)
-  if (!read.ok) return read
-  const lines = read.value
-  const story = explain(lines, id)
-  if (story.length === 0) return failure('notFound', `no line of ${lines.length} names ${id}`)
-  const account = summarizeSteps(lines).find(({ step }) => step === id)
-  return success(account === undefined ? formatTimeline(story) : `${formatStepSummary(account)}\n\n${formatTimeline(story)}`)
+  const logLines = await readLogFiles(files)
+  if (!logLines.ok) return logLines
+  const lines = logLines.value
+  const events = explain(lines, id)
+  if (events.length === 0) return failure('notFound', `none of ${lines.length} log lines mentions ${id}`)
+  const stepAccount = summarizeSteps(lines).find(({ step }) => step === id)
+  return success(stepAccount === undefined ? formatTimeline(events) : `${formatStepSummary(stepAccount)}\n\n${formatTimeline(events)}`)
 }
 
 /**
- * Reads files and ranks what was late or missing of their steps, as text. A file that ends within a line is an error:
- * what came after it would be missing from the sums. A host that is killed cuts a line where others go on after it; such
- * lines are passed over.
+ * Reads log files and formats a ranking of late or missing results of steps. A file that ends within a line is an error,
+ * as the lines after it would be missing from the totals. A truncated line that is followed by others is skipped, as a
+ * killed host leaves one.
  */
 export async function lossesFromFiles (files: readonly string[]): Promise<Result<string>> {
-  const read = await readFiles(files, true)
-  if (!read.ok) return read
-  const report = analyzeLosses(read.value)
-  return report.steps === 0 ? failure('notFound', `no line of ${read.value.length} tells that a step was accepted`) : success(formatLosses(report))
+  const logLines = await readLogFiles(files, true)
+  if (!logLines.ok) return logLines
+  const report = analyzeLosses(logLines.value)
+  return report.steps === 0 ? failure('notFound', `no line of ${logLines.value.length} tells that a step was accepted`) : success(formatLosses(report))
 }
 
-/** Reads all log lines and passes over what is none; with `whole`, a file must not end within a line. */
-async function readFiles (files: readonly string[], whole = false): Promise<Result<LogLine[]>> {
+/** Reads all log lines and skips other text. With `rejectTruncated`, a file that ends within a line is an error. */
+async function readLogFiles (files: readonly string[], rejectTruncated = false): Promise<Result<LogLine[]>> {
   const lines: LogLine[] = []
   for (const file of files) {
-    let number = 0
-    let endsCut = false
+    let lineNumber = 0
+    let endsTruncated = false
     try {
       for await (const text of createInterface({ input: createReadStream(file, 'utf8'), crlfDelay: Number.POSITIVE_INFINITY })) {
-        number++
-        const line = readLine(text)
+        lineNumber++
+        const line = parseLogLine(text)
         if (line !== undefined) lines.push(line)
-        endsCut = line === undefined && text.includes(LINE_BEGIN)
+        endsTruncated = line === undefined && text.includes(LINE_START)
       }
-      if (whole && endsCut) return failure('malformed', `${file}:${number}: the file ends within a line`)
+      if (rejectTruncated && endsTruncated) return failure('malformed', `${file}:${lineNumber}: the file ends within a line`)
     } catch (error) {
       return failure('notFound', `${file}: ${(error as Error).message}`)
     }
@@ -53,15 +53,15 @@
   return success(lines)
 }
 
-const LINE_BEGIN = '{"time"'
+const LINE_START = '{"time"'
 
-/** Reads a line; anything before its opening brace is passed over, and what is not a log line is `undefined`. */
-export function readLine (text: string): LogLine | undefined {
-  const begin = text.indexOf(LINE_BEGIN)
-  if (begin < 0) return undefined
+/** Parses a log line, ignoring any prefix before its opening brace. Returns `undefined` for other text. */
+export function parseLogLine (text: string): LogLine | undefined {
+  const start = text.indexOf(LINE_START)
+  if (start < 0) return undefined
   let parsed: unknown
   try {
-    parsed = JSON.parse(text.slice(begin))
+    parsed = JSON.parse(text.slice(start))
   } catch {
     return undefined
   }
--- a/src/core/common/duties/dutyOrder.ts
+++ b/src/core/common/duties/dutyOrder.ts
@@ -12,13 +12,13 @@
  * claim back. All other hosts come later, spread over a time that grows with their number.
  */
 
-import type { HostId, Place } from '../../../base/common/ids.ts'
+import type { HostId, FailureDomain } from '../../../base/common/ids.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 
 /** A host that may hold a duty. */
 export interface DutyHost {
   readonly host: HostId
-  readonly place: Place
+  readonly place: FailureDomain
   /** Number of standard cores that the host may use; absent if unknown. */
   readonly processor?: number | undefined
 }
--- a/src/core/common/membership/memberTable.ts
+++ b/src/core/common/membership/memberTable.ts
@@ -7,7 +7,7 @@
  * for minutes, and both sides have to rejoin afterwards without a restart.
  */
 
-import type { HostId, Place } from '../../../base/common/ids.ts'
+import type { HostId, FailureDomain } from '../../../base/common/ids.ts'
 
 export type MemberStatus = 'alive' | 'leaving' | 'suspect' | 'dead'
 
@@ -16,7 +16,7 @@
   readonly host: HostId
   /** Base address, used by both callers and peers. */
   readonly address: string
-  readonly place: Place
+  readonly place: FailureDomain
   /** Number of standard processor cores that the host may use; absent if the host does not report it. */
   readonly processor?: number | undefined
   readonly status: MemberStatus
--- a/src/core/common/requests/retryPolicy.ts
+++ b/src/core/common/requests/retryPolicy.ts
@@ -5,7 +5,7 @@
 
 import type { Failure } from '../../../base/common/resultCode.ts'
 import { resultCodes } from '../../../base/common/resultCode.ts'
-import type { Chance } from '../../../ports/common/clock.ts'
+import type { RandomSource } from '../../../ports/common/clock.ts'
 
 /** What is known about a failed attempt. */
 export interface FailedAttempt {
@@ -31,7 +31,7 @@
 }
 
 /** Adds jitter to the retry delay: callers that are rejected together would otherwise return together and be rejected together again. */
-export function jitterRetryAfter (retryAfterMs: number, chance: Chance): number {
+export function jitterRetryAfter (retryAfterMs: number, chance: RandomSource): number {
   const base = Math.max(50, retryAfterMs)
   return Math.round(base * (1 + RETRY_JITTER * chance.next()))
 }
--- a/src/core/common/routes/answerVerdict.ts
+++ b/src/core/common/routes/answerVerdict.ts
@@ -4,7 +4,7 @@
  * again unless it may be repeated.
  */
 
-import type { TargetAnswerHead } from '../../../ports/common/protocols.ts'
+import type { TargetResponseHead } from '../../../ports/common/protocols.ts'
 
 export type AnswerVerdict =
   /** The target's answer to this request, whether it reports success or failure. */
@@ -19,7 +19,7 @@
 const MIN_SERVER_ERROR_STATUS = 500
 
 /** Classifies an answer to the request with this id by its head. */
-export function classifyAnswer (head: TargetAnswerHead, requestId: string | undefined): AnswerVerdict {
+export function classifyAnswer (head: TargetResponseHead, requestId: string | undefined): AnswerVerdict {
   const isForeign = head.requestId !== undefined && head.requestId !== requestId
   if (isForeign) return 'unusable'
   if (head.notRun) return 'not-run'
--- a/src/core/common/routes/heldRequestFold.ts
+++ b/src/core/common/routes/heldRequestFold.ts
@@ -8,7 +8,7 @@
  * that request clears it.
  */
 
-import type { RequestFingerprint, TargetLife } from '../../../base/common/ids.ts'
+import type { RequestFingerprint, TargetIncarnationId } from '../../../base/common/ids.ts'
 import type { KeyedEntry } from '../../../ports/common/keyedLog.ts'
 import { decodeKeyPart } from '../keyedRecords.ts'
 import type { HeldRequestRecord } from './heldRequestRecords.ts'
@@ -50,9 +50,9 @@
 }
 
 interface RequestHistory {
-  readonly countedEnds: Set<TargetLife>
+  readonly countedEnds: Set<TargetIncarnationId>
   /** Ends that an answer has cleared. A delayed report of one must not count again. */
-  readonly clearedEnds: Set<TargetLife>
+  readonly clearedEnds: Set<TargetIncarnationId>
   trials: Trial[]
   /** Monotonic time of the last claim of a trial, including one that was withdrawn. */
   lastTrialAt: number
@@ -61,7 +61,7 @@
 export class HeldRequestFold {
   private readonly histories = new Map<RequestFingerprint, RequestHistory>()
   /** Requests that were in progress at each target incarnation that ended. */
-  private readonly requestsByIncarnation = new Map<TargetLife, Set<RequestFingerprint>>()
+  private readonly requestsByIncarnation = new Map<TargetIncarnationId, Set<RequestFingerprint>>()
   private readonly learnedAt = new Map<string, number>()
 
   /** Whether no ends are recorded for any request, in which case no look-up is needed. */
@@ -90,7 +90,7 @@
   }
 
   /** Records the end of a target incarnation; also called before the end is in the topic. */
-  recordEnd (incarnation: TargetLife, fingerprints: readonly RequestFingerprint[]): void {
+  recordEnd (incarnation: TargetIncarnationId, fingerprints: readonly RequestFingerprint[]): void {
     const requests = this.requestsByIncarnation.get(incarnation) ?? new Set()
     this.requestsByIncarnation.set(incarnation, requests)
     for (const fingerprint of fingerprints) {
@@ -129,7 +129,7 @@
     return this.histories.get(fingerprint)?.trials.some((trial) => trial.key === key) === true
   }
 
-  hasEnded (incarnation: TargetLife): boolean {
+  hasEnded (incarnation: TargetIncarnationId): boolean {
     return this.requestsByIncarnation.has(incarnation)
   }
 
@@ -178,10 +178,10 @@
   private removeEnd (encodedIncarnation: string): void {
     const incarnation = decodeKeyPart(encodedIncarnation)
     if (incarnation === undefined || [...this.learnedAt.keys()].some((other) => other.startsWith(`ended/${encodedIncarnation}/`))) return
-    this.removeIncarnation(incarnation as TargetLife)
+    this.removeIncarnation(incarnation as TargetIncarnationId)
   }
 
-  private removeIncarnation (incarnation: TargetLife): void {
+  private removeIncarnation (incarnation: TargetIncarnationId): void {
     for (const fingerprint of this.requestsByIncarnation.get(incarnation) ?? []) {
       const history = this.histories.get(fingerprint)
       if (history === undefined) continue
--- a/src/core/common/routes/heldRequestRecords.ts
+++ b/src/core/common/routes/heldRequestRecords.ts
@@ -6,13 +6,13 @@
 
 import { z } from 'zod'
 import { asRequestFingerprint } from '../../../base/common/ids.ts'
-import type { RequestFingerprint, TargetLife } from '../../../base/common/ids.ts'
+import type { RequestFingerprint, TargetIncarnationId } from '../../../base/common/ids.ts'
 import type { KeyedEntry, KeyedRecord } from '../../../ports/common/keyedLog.ts'
 import { decodeKeyPart, parseValue } from '../keyedRecords.ts'
 
 export type HeldRequestRecord =
   /** The process of a target ended while these requests were in progress there. */
-  | { readonly kind: 'ended', readonly incarnation: TargetLife, readonly under: readonly RequestFingerprint[] }
+  | { readonly kind: 'ended', readonly incarnation: TargetIncarnationId, readonly under: readonly RequestFingerprint[] }
   /** A target answered the request. */
   | { readonly kind: 'cleared', readonly fingerprint: RequestFingerprint }
   /** A host claims the right to send a held request to one target. The first record with a given number is granted. */
@@ -25,7 +25,7 @@
 const endedSchema = z.object({ under: z.array(fingerprint).max(MAX_REQUESTS_PER_RECORD) })
 const trialSchema = z.object({ number: z.number().int().positive() })
 
-export function targetEndedRecord (incarnation: TargetLife, fingerprints: readonly RequestFingerprint[], nonce: string): KeyedRecord {
+export function targetEndedRecord (incarnation: TargetIncarnationId, fingerprints: readonly RequestFingerprint[], nonce: string): KeyedRecord {
   return { key: `ended/${encodeURIComponent(incarnation)}/${nonce}`, value: JSON.stringify({ under: fingerprints.slice(0, MAX_REQUESTS_PER_RECORD) }) }
 }
 
@@ -52,7 +52,7 @@
 function readEnded (encodedIncarnation: string, value: string): HeldRequestRecord | undefined {
   const incarnation = decodeKeyPart(encodedIncarnation)
   const ended = parseValue(endedSchema, value)
-  return incarnation === undefined || incarnation === '' || ended === undefined ? undefined : { kind: 'ended', incarnation: incarnation as TargetLife, under: ended.under }
+  return incarnation === undefined || incarnation === '' || ended === undefined ? undefined : { kind: 'ended', incarnation: incarnation as TargetIncarnationId, under: ended.under }
 }
 
 function readCleared (text: string): HeldRequestRecord | undefined {
--- a/src/core/common/routing/rendezvous.ts
+++ b/src/core/common/routing/rendezvous.ts
@@ -8,16 +8,16 @@
  */
 
 import type { Hash } from '../../../ports/common/hash.ts'
-import type { HostId, Place } from '../../../base/common/ids.ts'
+import type { HostId, FailureDomain } from '../../../base/common/ids.ts'
 
 /** A host that may be selected. */
 export interface HostCandidate {
   readonly host: HostId
-  readonly place: Place
+  readonly place: FailureDomain
 }
 
 /** Returns the home of a key. Only hosts in the preferred failure domain are considered if there are any. */
-export function findHome<T extends HostCandidate> (hash: Hash, key: string, candidates: readonly T[], preferred?: Place): T | undefined {
+export function findHome<T extends HostCandidate> (hash: Hash, key: string, candidates: readonly T[], preferred?: FailureDomain): T | undefined {
   const preferredCandidates = preferred === undefined ? [] : candidates.filter((candidate) => candidate.place === preferred)
   return highestWeight(hash, key, preferredCandidates.length > 0 ? preferredCandidates : candidates)
 }
--- a/src/core/common/routing/shardChoice.ts
+++ b/src/core/common/routing/shardChoice.ts
@@ -5,13 +5,13 @@
  * would overload it.
  */
 
-import type { Place, ShardKey } from '../../../base/common/ids.ts'
-import type { Chance } from '../../../ports/common/clock.ts'
+import type { FailureDomain, ShardKey } from '../../../base/common/ids.ts'
+import type { RandomSource } from '../../../ports/common/clock.ts'
 
 /** The load of a shard as known to a host. */
 export interface ShardView {
   readonly shard: ShardKey
-  readonly place: Place
+  readonly place: FailureDomain
   /** Ratio of requests to slots, as last reported. */
   readonly pressure: number
 }
@@ -20,7 +20,7 @@
 const REMOTE_SHARD_PENALTY = 0.25
 
 /** Orders the shards to ask: the preferred one first, then the others by cost. */
-export function orderShards (views: readonly ShardView[], ownDomain: Place, chance: Chance): ShardView[] {
+export function orderShards (views: readonly ShardView[], ownDomain: FailureDomain, chance: RandomSource): ShardView[] {
   const cost = (view: ShardView): number => view.pressure + (view.place === ownDomain ? 0 : REMOTE_SHARD_PENALTY)
   const byCost = rotateRandomly(views, chance).sort((a, b) => cost(a) - cost(b))
   if (byCost.length <= 2) return byCost
@@ -31,12 +31,12 @@
 }
 
 /** Rotates the list to start at a random shard, so that shards of equal cost are chosen equally often. */
-function rotateRandomly (views: readonly ShardView[], chance: Chance): ShardView[] {
+function rotateRandomly (views: readonly ShardView[], chance: RandomSource): ShardView[] {
   const start = Math.floor(chance.next() * views.length)
   return [...views.slice(start), ...views.slice(0, start)]
 }
 
-function pickTwoRandomly (views: readonly ShardView[], chance: Chance): ShardView[] {
+function pickTwoRandomly (views: readonly ShardView[], chance: RandomSource): ShardView[] {
   const first = Math.floor(chance.next() * views.length)
   const second = (first + 1 + Math.floor(chance.next() * (views.length - 1))) % views.length
   return [views[first], views[second]].filter((view) => view !== undefined)
--- a/src/entry/common/identity.ts
+++ b/src/entry/common/identity.ts
@@ -1,4 +1,4 @@
-/** Who presents a key: peers, operators, callers and trainers, as the settings name them. */
+/** Identities of peers, operators, callers and trainers, authenticated by the keys in the settings. */
 
 import type { Result } from '../../base/common/resultCode.ts'
 import { failure, success } from '../../base/common/resultCode.ts'
@@ -9,7 +9,7 @@
   | { readonly type: 'operator', readonly name: string }
   | { readonly type: 'caller', readonly name: string, readonly trainer: boolean }
 
-/** What a route asks of whoever uses it. */
+/** The access that a route requires. */
 export type Access = 'anyone' | 'caller' | 'trainer' | 'operator' | 'peer'
 
 export class Identities {
@@ -21,17 +21,17 @@
     for (const { name, key, role } of settings.callers) this.byKey.set(key, { type: 'caller', name, trainer: role === 'trainer' })
   }
 
-  /** Decides whether the bearer of an `authorization` header may use a route. */
-  admit (authorization: string | undefined, access: Access): Result<Identity | undefined> {
+  /** Authenticates an `authorization` header and checks whether its identity has access to a route. */
+  authorize (authorization: string | undefined, access: Access): Result<Identity | undefined> {
     const key = /^Bearer (.+)$/.exec(authorization ?? '')?.[1]
     const identity = key === undefined ? undefined : this.byKey.get(key)
     if (access === 'anyone') return success(identity)
-    if (identity === undefined) return failure('unauthenticated', 'a known key must be presented as bearer token')
-    return allows(identity, access) ? success(identity) : failure('forbidden', `this key is not that of a ${access}`)
+    if (identity === undefined) return failure('unauthenticated', 'a valid key is required as bearer token')
+    return hasAccess(identity, access) ? success(identity) : failure('forbidden', `this key does not grant ${access} access`)
   }
 }
 
-function allows (identity: Identity, access: Exclude<Access, 'anyone'>): boolean {
+function hasAccess (identity: Identity, access: Exclude<Access, 'anyone'>): boolean {
   switch (access) {
     case 'peer': return identity.type === 'peer'
     case 'operator': return identity.type === 'operator'
--- a/src/entry/node/backpressure.ts
+++ b/src/entry/node/backpressure.ts
@@ -1,9 +1,9 @@
-/** Callers that read more slowly than they are sent to. */
+/** Backpressure for responses whose callers read more slowly than data is written. */
 
 import type { ServerResponse } from 'node:http'
 
-/** Resolves once a caller has read what is buffered for it, or has gone. */
-export async function drained (response: ServerResponse): Promise<void> {
+/** Resolves once the write buffer of a response has drained or its connection has closed. */
+export async function waitForDrain (response: ServerResponse): Promise<void> {
   if (response.destroyed) return
   await new Promise<void>((resolve) => {
     const settle = (): void => {
--- a/src/entry/node/entryServer.ts
+++ b/src/entry/node/entryServer.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server of an entry host: bounded connections, bodies and times, identity, and one
- * numbered answer for everything that goes wrong. Counts what is in flight, so that a graceful stop
- * knows when it has ended.
+ * HTTP server of an entry host. Limits connections, body sizes and durations, authenticates
+ * requests, and answers every failure with a numbered error. Counts requests in flight, so that a
+ * graceful stop knows when all have ended.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -11,7 +11,7 @@
 import { failure, failureBody } from '../../base/common/resultCode.ts'
 import type { Metrics, StateLog } from '../../ports/common/observation.ts'
 import type { Identities } from '../common/identity.ts'
-import { OpenAnswers, cutAnswer } from './cutAnswers.ts'
+import { OpenResponses, abortResponse } from './openResponses.ts'
 import type { ExchangeOptions } from './exchange.ts'
 import { Exchange } from './exchange.ts'
 import { listenAt } from './listenAt.ts'
@@ -31,11 +31,11 @@
   readonly stateLog: StateLog
 }
 
-const KEEP_ALIVE_MS = 30_000
+const KEEP_ALIVE_TIMEOUT_MS = 30_000
 
 export class EntryServer implements Disposable {
   private readonly server
-  private readonly openAnswers: OpenAnswers
+  private readonly openResponses: OpenResponses
   private inFlight = 0
   private internalInFlight = 0
 
@@ -44,17 +44,17 @@
       requestTimeout: settings.bodyTimeoutMs,
       headersTimeout: settings.bodyTimeoutMs,
       connectionsCheckingInterval: Math.min(1000, settings.bodyTimeoutMs),
-      keepAliveTimeout: KEEP_ALIVE_MS
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS
     }, (request, response) => {
-      this.serve(request, response).catch((error: unknown) => { this.crashed(error, response) })
+      this.serve(request, response).catch((error: unknown) => { this.handleUnexpectedError(error, response) })
     })
-    this.openAnswers = new OpenAnswers(this.server)
+    this.openResponses = new OpenResponses(this.server)
     this.server.maxConnections = settings.maximumConnections
     this.server.on('drop', () => { services.metrics.count('connections.dropped') })
-    this.server.on('clientError', (error, socket) => { this.rejectBroken(error, socket as Socket) })
+    this.server.on('clientError', (error, socket) => { this.rejectMalformedRequest(error, socket as Socket) })
   }
 
-  /** Requests of callers, trainers and operators in flight. */
+  /** Number of requests from callers, trainers and operators in flight. */
   get requests (): number {
     return this.inFlight
   }
@@ -63,7 +63,7 @@
     await listenAt(this.server, this.settings.listen)
   }
 
-  /** Takes no new connections; resolves when the last has ended. */
+  /** Stops accepting connections. Resolves when the last one has closed. */
   async close (): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.close(() => { resolve() })
@@ -73,7 +73,7 @@
 
   dispose (): void {
     this.server.close()
-    this.openAnswers.cut()
+    this.openResponses.abortStarted()
     this.server.closeAllConnections()
   }
 
@@ -81,18 +81,18 @@
     const url = new URL(request.url ?? '/', 'http://host')
     const match = this.services.router.match(request.method ?? '', url.pathname)
     const route = match.ok ? match.value.route : undefined
-    const admitted = this.services.identities.admit(request.headers.authorization, route?.access ?? 'anyone')
+    const admitted = this.services.identities.authorize(request.headers.authorization, route?.access ?? 'anyone')
     const identity = admitted.ok ? admitted.value : undefined
     const exchange = new Exchange(request, response, match.ok ? match.value.parameters : {}, url.searchParams, identity, this.settings)
-    if (!match.ok) return this.refuse(exchange, match)
-    if (!admitted.ok) return this.refuse(exchange, admitted)
+    if (!match.ok) return this.reject(exchange, match)
+    if (!admitted.ok) return this.reject(exchange, admitted)
     if (route?.internal !== true && this.inFlight >= this.settings.maximumRequests) {
-      return this.refuse(exchange, failure('tooManyConnections', `this host has ${this.inFlight} requests in flight`))
+      return this.reject(exchange, failure('tooManyConnections', `this host has ${this.inFlight} requests in flight, with a limit of ${this.settings.maximumRequests}`))
     }
-    await this.counted(match.value.route, exchange)
+    await this.handleCounted(match.value.route, exchange)
   }
 
-  private async counted (route: Route, exchange: Exchange): Promise<void> {
+  private async handleCounted (route: Route, exchange: Exchange): Promise<void> {
     const internal = route.internal === true
     if (internal) this.internalInFlight++
     else this.inFlight++
@@ -104,29 +104,29 @@
     }
   }
 
-  private refuse (exchange: Exchange, failed: ReturnType<typeof failure>): void {
-    this.services.metrics.count(`refused.${failed.code}`)
-    exchange.sendFailure(failed)
+  private reject (exchange: Exchange, rejection: ReturnType<typeof failure>): void {
+    this.services.metrics.count(`refused.${rejection.code}`)
+    exchange.sendFailure(rejection)
     exchange.request.resume()
   }
 
-  private crashed (error: unknown, response: ServerResponse): void {
+  private handleUnexpectedError (error: unknown, response: ServerResponse): void {
     this.services.metrics.count('requests.crashed')
     this.services.stateLog.alarm('a request handler failed', { error: error instanceof Error ? error.stack ?? error.message : String(error) })
-    if (response.headersSent) cutAnswer(response)
-    else response.writeHead(500, { 'content-type': 'application/json' }).end(JSON.stringify(failureBody(failure('unknownOutcome', 'this host failed while it served the request'))))
+    if (response.headersSent) abortResponse(response)
+    else response.writeHead(500, { 'content-type': 'application/json' }).end(JSON.stringify(failureBody(failure('unknownOutcome', 'internal error while processing the request'))))
   }
 
-  /** What does not parse as HTTP still gets a number, if the other end can be written to. */
-  private rejectBroken (error: NodeJS.ErrnoException, socket: Socket): void {
+  /** Answers input that does not parse as HTTP with a numbered error if the socket is still writable. */
+  private rejectMalformedRequest (error: NodeJS.ErrnoException, socket: Socket): void {
     this.services.metrics.count('requests.broken')
     if (error.code === 'ECONNRESET' || !socket.writable) {
       socket.destroy()
       return
     }
-    const slow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
-    const body = JSON.stringify(failureBody(failure(slow ? 'tooSlow' : 'malformed', slow ? 'the request did not arrive in time' : 'this is not an HTTP request')))
-    const status = slow ? '408 Request Timeout' : '400 Bad Request'
+    const timedOut = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
+    const body = JSON.stringify(failureBody(failure(timedOut ? 'tooSlow' : 'malformed', timedOut ? 'the request did not arrive in time' : 'the request is not valid HTTP')))
+    const status = timedOut ? '408 Request Timeout' : '400 Bad Request'
     socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`)
   }
 }
--- a/src/entry/node/exchange.ts
+++ b/src/entry/node/exchange.ts
@@ -1,28 +1,28 @@
-/** One request and its response: bounded reading of the body, answers and failures as JSON. */
+/** A request and its response, with size-limited body reading and JSON responses and errors. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { z } from 'zod'
 import type { Failure, Result } from '../../base/common/resultCode.ts'
 import { failure, failureBody, resultCodes, success } from '../../base/common/resultCode.ts'
 import { jitterRetryAfter } from '../../core/common/requests/retryPolicy.ts'
-import type { Chance } from '../../ports/common/clock.ts'
+import type { RandomSource } from '../../ports/common/clock.ts'
 import type { Identity } from '../common/identity.ts'
 
-/** Codes after which trying again makes sense; the failure's own time goes first. */
+/** Retry delay for rejections that do not set one. */
 const DEFAULT_RETRY_AFTER_MS = 500
 
 export interface ExchangeOptions {
   readonly maximumBodyBytes: number
-  readonly chance: Chance
-  /** Addresses of other hosts, for refusals. */
+  readonly chance: RandomSource
+  /** Addresses of other hosts to try, included in rejections. */
   readonly alternatives: () => string[]
-  /** True once this host is about to exit: connections are not kept. */
+  /** Whether this host is stopping. Connections are then closed after the response. */
   readonly leaving: () => boolean
 }
 
 export class Exchange {
-  /** Aborted when the other end goes away before the answer is whole. */
-  readonly gone: AbortSignal
+  /** Aborted when the client disconnects before the response is complete. */
+  readonly disconnectSignal: AbortSignal
 
   constructor (
     readonly request: IncomingMessage,
@@ -33,7 +33,7 @@
     private readonly options: ExchangeOptions
   ) {
     const abort = new AbortController()
-    this.gone = abort.signal
+    this.disconnectSignal = abort.signal
     response.once('close', () => { if (!response.writableFinished) abort.abort() })
   }
 
@@ -48,32 +48,32 @@
   }
 
   /** Reads the body, up to a limit. */
-  async text (maximumBytes: number = this.options.maximumBodyBytes): Promise<Result<string>> {
+  async readText (maximumBytes: number = this.options.maximumBodyBytes): Promise<Result<string>> {
     const declared = Number(this.header('content-length') ?? 0)
-    if (declared > maximumBytes) return this.tooLarge(maximumBytes)
+    if (declared > maximumBytes) return this.bodyTooLarge(maximumBytes)
     const chunks: Buffer[] = []
     let size = 0
     try {
       for await (const chunk of this.request as AsyncIterable<Buffer>) {
         size += chunk.length
-        if (size > maximumBytes) return this.tooLarge(maximumBytes)
+        if (size > maximumBytes) return this.bodyTooLarge(maximumBytes)
         chunks.push(chunk)
       }
     } catch {
-      return failure('tooSlow', 'the body did not arrive in full')
+      return failure('tooSlow', 'the request body did not arrive completely')
     }
     return success(Buffer.concat(chunks).toString('utf8'))
   }
 
-  /** Reads a JSON body and checks it. */
-  async json<Schema extends z.ZodType> (schema: Schema): Promise<Result<z.infer<Schema>>> {
-    const text = await this.text()
+  /** Reads a JSON body and validates it against a schema. */
+  async readJson<Schema extends z.ZodType> (schema: Schema): Promise<Result<z.infer<Schema>>> {
+    const text = await this.readText()
     if (!text.ok) return text
     let parsed: unknown
     try {
       parsed = JSON.parse(text.value)
     } catch (error) {
-      return failure('malformed', `the body is not JSON: ${(error as Error).message}`)
+      return failure('malformed', `the request body is not valid JSON: ${(error as Error).message}`)
     }
     const checked = schema.safeParse(parsed)
     if (checked.success) return success(checked.data)
@@ -90,15 +90,15 @@
     this.response.end(body)
   }
 
-  /** Sends a failure with its number, when to come back, and where else to go. */
+  /** Sends a failure with its error number, the retry delay and alternative hosts. */
   sendFailure (failed: Failure): void {
-    const complete = this.complete(failed)
-    const retryAfter: Record<string, string> = complete.retryAfterMs === undefined ? {} : { 'retry-after': String(Math.max(1, Math.ceil(complete.retryAfterMs / 1000))) }
-    this.sendJson(resultCodes[failed.code].status, failureBody(complete), retryAfter)
+    const advisedFailure = this.withRetryAdvice(failed)
+    const retryAfter: Record<string, string> = advisedFailure.retryAfterMs === undefined ? {} : { 'retry-after': String(Math.max(1, Math.ceil(advisedFailure.retryAfterMs / 1000))) }
+    this.sendJson(resultCodes[failed.code].status, failureBody(advisedFailure), retryAfter)
   }
 
-  /** Adds to a refusal what every refusal carries. */
-  complete (failed: Failure): Failure {
+  /** Adds a retry delay and alternative hosts to a failure of a request that was not executed. */
+  withRetryAdvice (failed: Failure): Failure {
     if (resultCodes[failed.code].effect !== 'not-run') return failed
     return {
       ...failed,
@@ -111,9 +111,9 @@
     return this.options.leaving() ? { connection: 'close' } : {}
   }
 
-  /** What is left of an oversized body is not read; the connection ends after the answer. */
-  private tooLarge (maximumBytes: number): Failure {
+  /** Closes the connection after the response, as the rest of an oversized body is not read. */
+  private bodyTooLarge (maximumBytes: number): Failure {
     this.response.setHeader('connection', 'close')
-    return failure('tooLarge', `a body has at most ${maximumBytes} bytes`)
+    return failure('tooLarge', `the request body exceeds the limit of ${maximumBytes} bytes`)
   }
 }
--- a/src/entry/node/front/directoryServer.ts
+++ b/src/entry/node/front/directoryServer.ts
@@ -1,4 +1,4 @@
-/** Tells callers which hosts to use, and the platform whether this host is ready. */
+/** Answers address queries from callers and readiness probes from the platform. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createServer } from 'node:http'
@@ -10,12 +10,11 @@
 export interface DirectoryServerServices {
   readonly protocol: FrontProtocol
   readonly isReady: () => boolean
-  /** Callers' addresses of hosts that take requests; those of a place first. */
+  /** Returns the addresses for callers of hosts that accept requests, those in a given failure domain first. */
   readonly addresses: (place: string | undefined) => readonly string[]
 }
 
-/** Hosts in one answer, at most. */
-const MOST_ADDRESSES = 64
+const MAX_ADDRESSES = 64
 
 export class DirectoryServer implements Disposable {
   private readonly server: Server
@@ -36,17 +35,17 @@
   private answer (request: IncomingMessage, response: ServerResponse): void {
     const url = new URL(request.url ?? '/', 'http://host')
     const { protocol, isReady, addresses } = this.services
-    const asked = protocol.directoryRequest(request.method ?? '', url.pathname, url.searchParams)
-    if (asked === undefined) return reply(response, 404, {}, JSON.stringify(failureBody(failure('notFound', `there is no ${url.pathname}`))))
-    if (asked.type === 'readiness') return reply(response, isReady() ? 200 : 503, {}, '')
-    const found = addresses(asked.place).slice(0, MOST_ADDRESSES)
-    if (found.length === 0) return reply(response, 503, {}, JSON.stringify(failureBody(failure('noTarget', 'no host takes requests now'))))
-    const { status, headers, body } = protocol.addresses(found, this.validForMs)
-    reply(response, status, headers, body)
+    const query = protocol.directoryRequest(request.method ?? '', url.pathname, url.searchParams)
+    if (query === undefined) return sendResponse(response, 404, {}, JSON.stringify(failureBody(failure('notFound', `no route for path ${url.pathname}`))))
+    if (query.type === 'readiness') return sendResponse(response, isReady() ? 200 : 503, {}, '')
+    const addressesFound = addresses(query.place).slice(0, MAX_ADDRESSES)
+    if (addressesFound.length === 0) return sendResponse(response, 503, {}, JSON.stringify(failureBody(failure('noTarget', 'no host accepts requests at present'))))
+    const { status, headers, body } = protocol.addresses(addressesFound, this.validForMs)
+    sendResponse(response, status, headers, body)
   }
 }
 
-function reply (response: ServerResponse, status: number, headers: Readonly<Record<string, string>>, body: string): void {
+function sendResponse (response: ServerResponse, status: number, headers: Readonly<Record<string, string>>, body: string): void {
   response.writeHead(status, { ...headers, 'content-length': Buffer.byteLength(body) })
   response.end(body)
 }
--- a/src/entry/node/front/forwardRoutes.ts
+++ b/src/entry/node/front/forwardRoutes.ts
@@ -1,4 +1,4 @@
-/** Requests that a target answers: whole answers, and streams that are passed on as they come. */
+/** Forwards requests to targets. Answers are either sent as a whole or streamed as they arrive. */
 
 import type { RouteCalls } from '../../../actors/common/routes/routeCalls.ts'
 import type { StreamCalls } from '../../../actors/common/routes/streamCalls.ts'
@@ -6,58 +6,58 @@
 import { workspaceOf } from '../../../core/common/identity/workspaces.ts'
 import type { Route } from '../../../core/common/routes/routeConfiguration.ts'
 import type { FrontRequest, TargetProtocol } from '../../../ports/common/protocols.ts'
-import { drained } from '../backpressure.ts'
-import { cutAnswer } from '../cutAnswers.ts'
+import { waitForDrain } from '../backpressure.ts'
+import { abortResponse } from '../openResponses.ts'
 import type { FrontExchange } from './frontExchange.ts'
 
-/** A request that was read, admitted and found to have a route. */
+/** A request that has been read, authenticated and matched to a route. */
 export interface ForwardedRequest {
-  readonly read: Extract<FrontRequest, { type: 'routed' }>
+  readonly parsedRequest: Extract<FrontRequest, { type: 'routed' }>
   readonly route: Route
-  /** Version of the configuration that the route is of. */
+  /** Version of the configuration that contains the route. */
   readonly configuration: number
   readonly caller: CallerIdentity
   readonly body: Uint8Array
 }
 
-export interface ForwardServices {
+export interface ForwardRouteServices {
   readonly calls: RouteCalls
   readonly streams: StreamCalls
   readonly protocol: TargetProtocol
 }
 
 export class ForwardRoutes {
-  constructor (private readonly services: ForwardServices) {}
+  constructor (private readonly services: ForwardRouteServices) {}
 
-  async serve (exchange: FrontExchange, { read, route, configuration, caller, body }: ForwardedRequest): Promise<void> {
+  async serve (exchange: FrontExchange, { parsedRequest, route, configuration, caller, body }: ForwardedRequest): Promise<void> {
     const { calls, streams, protocol } = this.services
     const call = {
       route,
-      requestId: read.requestId,
+      requestId: parsedRequest.requestId,
       method: exchange.method,
       path: exchange.request.url ?? '/',
       headers: (options: Parameters<TargetProtocol['forwardHeaders']>[1]) => protocol.forwardHeaders(exchange.request.rawHeaders, options, caller),
       body: exchange.hasBody ? body : undefined,
-      waitMs: read.deadlineMs ?? route.timeoutMs,
+      waitMs: parsedRequest.deadlineMs ?? route.timeoutMs,
       configuration,
       background: false,
       caller: caller.type === 'open' ? exchange.headers['authorization'] : workspaceOf(caller),
       workspace: workspaceOf(caller),
-      gone: exchange.gone
+      gone: exchange.disconnectSignal
     }
     if (route.kind === 'streaming') {
-      const failed = await streams.call({ ...call, resumeAfter: read.resumeAfter }, {
-        writeHead: (status, headers) => { exchange.response.writeHead(status, protocol.answerHeaders(headers)) },
-        write: (piece) => exchange.response.write(piece) ? undefined : drained(exchange.response),
+      const failed = await streams.call({ ...call, resumeAfter: parsedRequest.resumeAfter }, {
+        writeHead: (status, headers) => { exchange.response.writeHead(status, protocol.responseHeaders(headers)) },
+        write: (piece) => exchange.response.write(piece) ? undefined : waitForDrain(exchange.response),
         end: () => { exchange.response.end() },
-        abort: () => { cutAnswer(exchange.response) }
+        abort: () => { abortResponse(exchange.response) }
       })
-      if (failed !== undefined) exchange.fail(failed, true)
+      if (failed !== undefined) exchange.sendFailure(failed, true)
       return
     }
     const answered = await calls.call(call)
-    if (!answered.ok) return exchange.fail(answered, true)
+    if (!answered.ok) return exchange.sendFailure(answered, true)
     const { status, headers, body: answerBody } = answered.value.answer
-    exchange.send(status, protocol.answerHeaders(headers), answerBody)
+    exchange.send(status, protocol.responseHeaders(headers), answerBody)
   }
 }
--- a/src/entry/node/front/frontExchange.ts
+++ b/src/entry/node/front/frontExchange.ts
@@ -1,46 +1,46 @@
-/** One request at the callers' address: bounded reading of its body, and numbered failures. */
+/** A request at the address for callers and its response, with size-limited body reading and numbered errors. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Failure, Result } from '../../../base/common/resultCode.ts'
 import { failure, failureBody, resultCodes, success } from '../../../base/common/resultCode.ts'
 import type { FrontProtocol } from '../../../ports/common/protocols.ts'
 
-/** When to come back where a failure does not say, in milliseconds. */
+/** Retry delay for failures that do not set one. */
 const DEFAULT_RETRY_AFTER_MS = 300
 
-/** Bytes of bodies that a host holds at once: many large ones together would take more memory than it has. */
+/** Limits the total size of request bodies in memory, as many large bodies at once could exhaust it. */
 export class ByteBudget {
   private held = 0
 
   constructor (private readonly maximumBytes: number) {}
 
-  /** Counts bytes that are held; false if there are too many. They count until they are given back. */
-  take (bytes: number): boolean {
+  /** Adds bytes to the total and returns whether it is within the limit. The bytes count until they are freed. */
+  reserve (bytes: number): boolean {
     this.held += bytes
     return this.held <= this.maximumBytes
   }
 
-  giveBack (bytes: number): void {
+  free (bytes: number): void {
     this.held -= bytes
   }
 }
 
 export class FrontExchange {
-  /** Aborted when the caller goes away before it has its answer. */
-  readonly gone: AbortSignal
+  /** Aborted when the caller disconnects before the response is complete. */
+  readonly disconnectSignal: AbortSignal
   readonly method: string
   readonly path: string
   readonly query: URLSearchParams
 
   constructor (readonly request: IncomingMessage, readonly response: ServerResponse, private readonly protocol: FrontProtocol, private readonly onFailure: (failed: Failure) => void = () => undefined) {
     const abort = new AbortController()
-    this.gone = abort.signal
+    this.disconnectSignal = abort.signal
     response.once('close', () => { if (!response.writableFinished) abort.abort() })
     this.method = request.method ?? 'GET'
     const url = request.url ?? '/'
-    const mark = url.indexOf('?')
-    this.path = mark < 0 ? url : url.slice(0, mark)
-    this.query = new URLSearchParams(mark < 0 ? '' : url.slice(mark + 1))
+    const queryIndex = url.indexOf('?')
+    this.path = queryIndex < 0 ? url : url.slice(0, queryIndex)
+    this.query = new URLSearchParams(queryIndex < 0 ? '' : url.slice(queryIndex + 1))
   }
 
   get host (): string {
@@ -55,24 +55,24 @@
     return this.request.headers['transfer-encoding'] !== undefined || Number(this.request.headers['content-length'] ?? 0) > 0
   }
 
-  /** Reads the whole body, up to a limit; what it holds counts in the budget until the answer has ended. */
-  async body (maximumBytes: number, budget: ByteBudget): Promise<Result<Uint8Array>> {
-    if (Number(this.request.headers['content-length'] ?? 0) > maximumBytes) return tooLarge(maximumBytes)
-    const pieces: Buffer[] = []
+  /** Reads the whole body, up to a limit. Its bytes count towards the budget until the response closes. */
+  async readBody (maximumBytes: number, budget: ByteBudget): Promise<Result<Uint8Array>> {
+    if (Number(this.request.headers['content-length'] ?? 0) > maximumBytes) return bodyTooLarge(maximumBytes)
+    const chunks: Buffer[] = []
     let size = 0
-    this.response.once('close', () => { budget.giveBack(size) })
+    this.response.once('close', () => { budget.free(size) })
     try {
-      for await (const piece of this.request as AsyncIterable<Buffer>) {
-        size += piece.length
-        const fits = budget.take(piece.length)
-        if (size > maximumBytes) return tooLarge(maximumBytes)
-        if (!fits) return failure('overloaded', 'this host holds as many bytes of requests as it may')
-        pieces.push(piece)
+      for await (const chunk of this.request as AsyncIterable<Buffer>) {
+        size += chunk.length
+        const fits = budget.reserve(chunk.length)
+        if (size > maximumBytes) return bodyTooLarge(maximumBytes)
+        if (!fits) return failure('overloaded', 'the limit of this host on buffered request bodies is reached')
+        chunks.push(chunk)
       }
     } catch (error) {
-      return failure('tooSlow', `the body did not arrive in full: ${String(error)}`)
+      return failure('tooSlow', `the request body did not arrive completely: ${String(error)}`)
     }
-    return success(pieces.length === 1 && pieces[0] !== undefined ? pieces[0] : Buffer.concat(pieces))
+    return success(chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks))
   }
 
   send (status: number, headers: Record<string, string | string[]>, body: Uint8Array | string): void {
@@ -82,11 +82,11 @@
   }
 
   /**
-   * Sends a failure; the status says whether the request has run.
-   * @param told whether the log has a line on it already
+   * Sends a failure. The status code indicates whether the request may have been executed.
+   * @param logged whether the failure has already been logged
    */
-  fail (failed: Failure, told = false): void {
-    if (!told) this.onFailure(failed)
+  sendFailure (failed: Failure, logged = false): void {
+    if (!logged) this.onFailure(failed)
     if (failed.code === 'cancelled') {
       this.response.destroy()
       return
@@ -99,6 +99,6 @@
   }
 }
 
-function tooLarge (maximumBytes: number): Failure {
-  return failure('tooLarge', `a body may have ${maximumBytes} bytes`)
+function bodyTooLarge (maximumBytes: number): Failure {
+  return failure('tooLarge', `the request body exceeds the limit of ${maximumBytes} bytes`)
 }
--- a/src/entry/node/front/frontServer.ts
+++ b/src/entry/node/front/frontServer.ts
@@ -1,7 +1,8 @@
 /**
- * The server at the callers' address: finds what a request is, and has it answered. A host that
- * knows no configuration yet, or is about to exit, says so; a route that it does not know it looks
- * up in the store once more before it says that there is none.
+ * HTTP server at the address for callers: parses each request and dispatches it. Rejects requests
+ * while the host has no configuration, and closes connections after their response while it is
+ * stopping. Before it reports that a route does not exist, it reads the latest configuration from
+ * the store.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -14,12 +15,12 @@
 import type { CallerIdentity } from '../../../core/common/identity/workspaces.ts'
 import type { CallerLimits, Route } from '../../../core/common/routes/routeConfiguration.ts'
 import type { Clock } from '../../../ports/common/clock.ts'
-import { nowOf } from '../../../ports/common/clock.ts'
+import { currentInstant } from '../../../ports/common/clock.ts'
 import type { Metrics, StateLog } from '../../../ports/common/observation.ts'
 import type { FrontProtocol, FrontRequest } from '../../../ports/common/protocols.ts'
 import type { CallerAuthenticator } from '../../../actors/common/identity/callerAuthenticator.ts'
 import type { OperatorTopic } from '../../../actors/common/routes/operatorTopic.ts'
-import { OpenAnswers } from '../cutAnswers.ts'
+import { OpenResponses } from '../openResponses.ts'
 import { listenAt } from '../listenAt.ts'
 import { ByteBudget, FrontExchange } from './frontExchange.ts'
 import type { ForwardRoutes } from './forwardRoutes.ts'
@@ -28,8 +29,8 @@
 export interface FrontServerServices {
   readonly protocol: FrontProtocol
   readonly operator: OperatorTopic
-  readonly gate: CallerAuthenticator
-  /** Waits, for a limited time, until the host has read what a request of this kind needs. */
+  readonly callerAuthenticator: CallerAuthenticator
+  /** Waits, up to a limit, until the host has loaded the topics that a request of this kind needs. */
   readonly whenLoaded: (need: 'routes' | 'steps', limitMs: number) => Promise<void>
   readonly forward: ForwardRoutes
   readonly steps: StepRoutes
@@ -41,59 +42,58 @@
 export interface FrontServerSettings {
   readonly listen: string
   readonly maximumConnections: number
-  /** Bytes of a head that the server takes at most; the configuration may allow less. */
-  readonly headBytes: number
-  /** Bytes of bodies that are held at once, at most. */
-  readonly heldBytes: number
-  /** Whether the host is about to exit: connections are not kept then. */
-  readonly isLeaving: () => boolean
+  /** Largest request head that the server reads. The configuration may set a lower limit. */
+  readonly maximumHeadBytes: number
+  /** Largest total size of request bodies that are buffered at the same time. */
+  readonly maximumBufferedBytes: number
+  /** Whether the host is stopping. Connections are then closed after the response. */
+  readonly isStopping: () => boolean
 }
 
-/** Limits until a configuration says otherwise; those of Node's own defaults, but a shorter head timeout. */
-const FIRST_LIMITS: CallerLimits = { headerBytes: 16_384, bodyBytes: 33_554_432, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
-/** Longest time for a whole request to arrive, in milliseconds. */
+/** Limits until a configuration is loaded: the defaults of Node.js, with a shorter header timeout. */
+const DEFAULT_LIMITS: CallerLimits = { headerBytes: 16_384, bodyBytes: 33_554_432, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
+/** Longest time for a whole request to arrive. */
 const REQUEST_TIMEOUT_MS = 30_000
 /**
- * How long a request waits for a host that is starting to read its topics, in milliseconds. Callers
- * still know a host's address while it restarts, and it listens before it knows any target; without the
- * wait each of them is rejected in the 50 to 400 ms that the reading takes.
+ * Longest time that a request waits for a starting host to load its topics. Callers keep using the address of
+ * a host while it restarts, and the host listens before it knows any target. Without the wait, their requests
+ * would be rejected during the 50 to 400 ms that loading takes.
  */
-const LOADING_MS = 500
-/** Time between two checks of connections for their timeouts, in milliseconds. */
-const CHECK_MS = 1000
-/** A kept connection is closed this much later than callers stop to use it, in milliseconds: a request must not cross the close. */
-const IDLE_SLACK_MS = 1000
+const MAX_LOADING_WAIT_MS = 500
+const CONNECTION_CHECK_INTERVAL_MS = 1000
+/** Idle connections are closed this much later than callers stop reusing them, so that no request arrives during the close. */
+const KEEP_ALIVE_MARGIN_MS = 1000
 
 export class FrontServer implements Disposable {
   private readonly server: Server
-  private readonly budget: ByteBudget
-  private readonly openAnswers: OpenAnswers
+  private readonly bodyBudget: ByteBudget
+  private readonly openResponses: OpenResponses
 
   constructor (private readonly services: FrontServerServices, private readonly settings: FrontServerSettings) {
-    this.budget = new ByteBudget(settings.heldBytes)
+    this.bodyBudget = new ByteBudget(settings.maximumBufferedBytes)
     this.server = createServer({
-      headersTimeout: FIRST_LIMITS.headerTimeoutMs,
+      headersTimeout: DEFAULT_LIMITS.headerTimeoutMs,
       requestTimeout: REQUEST_TIMEOUT_MS,
-      connectionsCheckingInterval: CHECK_MS,
-      keepAliveTimeout: FIRST_LIMITS.idleTimeoutMs + IDLE_SLACK_MS,
-      maxHeaderSize: settings.headBytes
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+      keepAliveTimeout: DEFAULT_LIMITS.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS,
+      maxHeaderSize: settings.maximumHeadBytes
     }, (request, response) => { this.receive(request, response) })
-    this.openAnswers = new OpenAnswers(this.server)
+    this.openResponses = new OpenResponses(this.server)
     this.server.maxConnections = settings.maximumConnections
-    this.server.on('clientError', (error, socket) => { this.rejectBroken(error, socket as Socket) })
-    services.operator.onChange(() => { this.takeLimits() })
+    this.server.on('clientError', (error, socket) => { this.rejectMalformedRequest(error, socket as Socket) })
+    services.operator.onChange(() => { this.applyLimits() })
   }
 
-  /** Requests in flight. */
+  /** Number of requests in flight. */
   get requests (): number {
-    return this.openAnswers.count
+    return this.openResponses.count
   }
 
   async listen (): Promise<void> {
     await listenAt(this.server, this.settings.listen)
   }
 
-  /** Closes connections on which nothing is in flight, and takes no more. */
+  /** Closes idle connections and stops accepting new ones. */
   closeIdle (): void {
     this.server.close()
     this.server.closeIdleConnections()
@@ -101,70 +101,70 @@
 
   dispose (): void {
     this.server.close()
-    this.openAnswers.cut()
+    this.openResponses.abortStarted()
     this.server.closeAllConnections()
   }
 
   private get limits (): CallerLimits {
-    return this.services.operator.routes?.configuration.limits ?? FIRST_LIMITS
+    return this.services.operator.routes?.configuration.limits ?? DEFAULT_LIMITS
   }
 
-  private takeLimits (): void {
-    this.server.keepAliveTimeout = this.limits.idleTimeoutMs + IDLE_SLACK_MS
+  private applyLimits (): void {
+    this.server.keepAliveTimeout = this.limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS
     this.server.headersTimeout = this.limits.headerTimeoutMs
   }
 
   private receive (request: IncomingMessage, response: ServerResponse): void {
-    const exchange = new FrontExchange(request, response, this.services.protocol, (failed) => { this.tellRejected(exchange, failed) })
-    if (this.settings.isLeaving()) response.shouldKeepAlive = false
+    const exchange = new FrontExchange(request, response, this.services.protocol, (failed) => { this.reportRejection(exchange, failed) })
+    if (this.settings.isStopping()) response.shouldKeepAlive = false
     this.serve(exchange).catch((error: unknown) => {
       this.services.stateLog.alarm('request failed', { path: exchange.path, error: String((error as Error).stack ?? error) })
-      exchange.fail(failure('unknownOutcome', 'the host failed'))
+      exchange.sendFailure(failure('unknownOutcome', 'internal error while processing the request'))
     })
   }
 
-  /** What was sent to a target or is a step's matter has a line of its own. */
-  private tellRejected (exchange: FrontExchange, { code, message }: Failure): void {
+  /** Counts and logs a rejected request. Requests that were forwarded to a target, and steps, have log lines of their own. */
+  private reportRejection (exchange: FrontExchange, { code, message }: Failure): void {
     const { clock, metrics, stateLog, operator } = this.services
     metrics.count(`front.refused.${code}`)
-    stateLog.decided('call rejected', { request: this.requestId(exchange), path: exchange.path, failed: true, outcome: code, why: message, configuration: operator.routes?.version ?? 0, knownMs: Math.round(elapsedMs(operator.readAt, nowOf(clock))), storeLost: operator.isLost })
+    stateLog.decided('call rejected', { request: this.requestId(exchange), path: exchange.path, failed: true, outcome: code, why: message, configuration: operator.routes?.version ?? 0, knownMs: Math.round(elapsedMs(operator.readAt, currentInstant(clock))), storeLost: operator.isLost })
   }
 
   private requestId (exchange: FrontExchange): string {
-    const read = this.services.protocol.request(exchange.method, exchange.path, exchange.query, exchange.headers)
-    return read.ok && read.value.type === 'routed' ? read.value.requestId ?? '' : ''
+    const parsed = this.services.protocol.request(exchange.method, exchange.path, exchange.query, exchange.headers)
+    return parsed.ok && parsed.value.type === 'routed' ? parsed.value.requestId ?? '' : ''
   }
 
   private async serve (exchange: FrontExchange): Promise<void> {
-    const read = this.services.protocol.request(exchange.method, exchange.path, exchange.query, exchange.headers)
-    if (!read.ok) return exchange.fail(read)
-    await this.services.whenLoaded(read.value.type === 'routed' ? 'routes' : 'steps', LOADING_MS)
-    if (this.services.operator.routes === undefined) return exchange.fail(failure('stale', 'this host knows no configuration yet'))
-    if (headBytes(exchange.request) > this.limits.headerBytes) return exchange.fail(failure('headTooLarge', `the head of a request may have ${this.limits.headerBytes} bytes`))
-    if (read.value.type === 'routed') return await this.serveRouted(exchange, read.value)
+    const parsed = this.services.protocol.request(exchange.method, exchange.path, exchange.query, exchange.headers)
+    if (!parsed.ok) return exchange.sendFailure(parsed)
+    await this.services.whenLoaded(parsed.value.type === 'routed' ? 'routes' : 'steps', MAX_LOADING_WAIT_MS)
+    if (this.services.operator.routes === undefined) return exchange.sendFailure(failure('stale', 'this host has not loaded a configuration yet'))
+    if (headSizeBytes(exchange.request) > this.limits.headerBytes) return exchange.sendFailure(failure('headTooLarge', `the request head exceeds the limit of ${this.limits.headerBytes} bytes`))
+    if (parsed.value.type === 'routed') return await this.serveRouted(exchange, parsed.value)
     const caller = await this.admit(exchange, false)
-    if (!caller.ok) return exchange.fail(caller)
-    await this.services.steps.serve(exchange, read.value, caller.value)
+    if (!caller.ok) return exchange.sendFailure(caller)
+    await this.services.steps.serve(exchange, parsed.value, caller.value)
   }
 
-  private async serveRouted (exchange: FrontExchange, read: Extract<FrontRequest, { type: 'routed' }>): Promise<void> {
+  private async serveRouted (exchange: FrontExchange, parsedRequest: Extract<FrontRequest, { type: 'routed' }>): Promise<void> {
     const route = await this.findRoute(exchange)
-    if (route === 'unknown') return exchange.fail(failure('stale', 'this host may be behind the configuration'))
-    if (route === undefined) return exchange.fail(failure('notFound', `no route for host ${exchange.host} and path ${exchange.path}`))
+    if (route === 'unknown') return exchange.sendFailure(failure('stale', 'this host may not have the latest configuration'))
+    if (route === undefined) return exchange.sendFailure(failure('notFound', `no route for host ${exchange.host} and path ${exchange.path}`))
     const caller = await this.admit(exchange, route.isPublic)
-    if (!caller.ok) return exchange.fail(caller)
-    const body = await exchange.body(this.limits.bodyBytes, this.budget)
-    if (!body.ok) return exchange.fail(body)
-    const request = { read, route, configuration: this.services.operator.routes?.version ?? 0, caller: caller.value, body: body.value }
+    if (!caller.ok) return exchange.sendFailure(caller)
+    const body = await exchange.readBody(this.limits.bodyBytes, this.bodyBudget)
+    if (!body.ok) return exchange.sendFailure(body)
+    const request = { parsedRequest, route, configuration: this.services.operator.routes?.version ?? 0, caller: caller.value, body: body.value }
     if (route.kind === 'steps') return await this.services.steps.submit(exchange, request)
     await this.services.forward.serve(exchange, request)
   }
 
   private async admit (exchange: FrontExchange, isPublic: boolean): Promise<Result<CallerIdentity>> {
-    return await this.services.gate.authenticate(this.services.protocol.presentedKey(exchange.request.rawHeaders), isPublic)
+    return await this.services.callerAuthenticator.authenticate(this.services.protocol.presentedKey(exchange.request.rawHeaders), isPublic)
   }
 
-  /** The route of a request; a missing one may be newer than what this host has read. */
+  /** Finds the route of a request. If there is none, reads newer configuration first, as the route may have just been added. */
   private async findRoute (exchange: FrontExchange): Promise<Route | 'unknown' | undefined> {
     const { operator } = this.services
     const route = operator.routes?.findRoute(exchange.host, exchange.path)
@@ -173,22 +173,22 @@
     return operator.routes?.findRoute(exchange.host, exchange.path)
   }
 
-  private rejectBroken (error: Error & { code?: string }, socket: Socket): void {
+  private rejectMalformedRequest (error: Error & { code?: string }, socket: Socket): void {
     this.services.metrics.count('front.broken_requests')
     if (!socket.writable || error.code === 'ECONNRESET') {
       socket.destroy()
       return
     }
     const failed = error.code === 'HPE_HEADER_OVERFLOW'
-      ? failure('headTooLarge', 'the head of the request is too large')
-      : error.code === 'ERR_HTTP_REQUEST_TIMEOUT' ? failure('tooSlow', 'the request did not arrive in time') : failure('malformed', 'the request is not HTTP/1.1')
+      ? failure('headTooLarge', 'the request head is too large')
+      : error.code === 'ERR_HTTP_REQUEST_TIMEOUT' ? failure('tooSlow', 'the request did not arrive in time') : failure('malformed', 'the request is not valid HTTP/1.1')
     const status = failed.code === 'headTooLarge' ? '431 Request Header Fields Too Large' : failed.code === 'tooSlow' ? '408 Request Timeout' : '400 Bad Request'
     const body = JSON.stringify(failureBody(failed))
     socket.end(`HTTP/1.1 ${status}\r\ncontent-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\nconnection: close\r\n\r\n${body}`)
   }
 }
 
-/** Bytes of names and values, with what stands around them. */
-function headBytes ({ rawHeaders, url = '' }: IncomingMessage): number {
+/** Approximates the size of a request head: the URL, and header names and values with their separators. */
+function headSizeBytes ({ rawHeaders, url = '' }: IncomingMessage): number {
   return rawHeaders.reduce((sum, text) => sum + text.length + 2, url.length)
 }
--- a/src/entry/node/front/metricsServer.ts
+++ b/src/entry/node/front/metricsServer.ts
@@ -1,20 +1,20 @@
-/** Serves counters and histograms as text. */
+/** Serves metrics in the Prometheus text format. */
 
 import type { Server } from 'node:http'
 import { createServer } from 'node:http'
 import type { Disposable } from '../../../base/common/lifecycle.ts'
-import type { ScrapedMetrics } from '../../../adapters/node/scrapedMetrics.ts'
+import type { PrometheusMetrics } from '../../../adapters/node/prometheusMetrics.ts'
 import { listenAt } from '../listenAt.ts'
 
-const PATH = '/metrics'
+const METRICS_PATH = '/metrics'
 
 export class MetricsServer implements Disposable {
   private readonly server: Server
 
-  /** @param refresh sets gauges that are only worth looking at when somebody asks */
-  constructor (metrics: ScrapedMetrics, refresh: () => void) {
+  /** @param refresh updates the gauges that are computed only for a scrape */
+  constructor (metrics: PrometheusMetrics, refresh: () => void) {
     this.server = createServer((request, response) => {
-      if (request.method !== 'GET' || request.url !== PATH) {
+      if (request.method !== 'GET' || request.url !== METRICS_PATH) {
         response.writeHead(404).end()
         return
       }
--- a/src/entry/node/front/stepRoutes.ts
+++ b/src/entry/node/front/stepRoutes.ts
@@ -1,4 +1,4 @@
-/** Steps at the callers' address. */
+/** Routes for submitting steps, reading their results and ending them, at the address for callers. */
 
 import type { StepRequestHandler } from '../../../actors/common/steps/stepRequestHandler.ts'
 import { failure } from '../../../base/common/resultCode.ts'
@@ -12,35 +12,35 @@
 const OK = 200
 
 export class StepRoutes {
-  constructor (private readonly desk: StepRequestHandler, private readonly protocol: FrontProtocol) {}
+  constructor (private readonly submissionApi: StepRequestHandler, private readonly protocol: FrontProtocol) {}
 
-  async submit (exchange: FrontExchange, { read: { requestId }, route, caller, body }: ForwardedRequest): Promise<void> {
-    if (exchange.method !== 'POST') return exchange.fail(failure('methodNotAllowed', `route ${route.name} takes submissions by POST`))
-    if (requestId === undefined) return exchange.fail(failure('malformed', 'a submission needs a request id'))
+  async submit (exchange: FrontExchange, { parsedRequest: { requestId }, route, caller, body }: ForwardedRequest): Promise<void> {
+    if (exchange.method !== 'POST') return exchange.sendFailure(failure('methodNotAllowed', `route ${route.name} accepts submissions by POST only, not ${exchange.method}`))
+    if (requestId === undefined) return exchange.sendFailure(failure('malformed', 'a submission must have a request id'))
     const submission = this.protocol.submission(requestId, new TextDecoder().decode(body))
-    if (!submission.ok) return exchange.fail(submission)
-    const taken = await this.desk.submit({ ...submission.value, host: exchange.host, path: exchange.path, workspace: workspaceOf(caller) })
-    if (taken.ok) exchange.send(ACCEPTED, {}, '')
-    else exchange.fail(taken)
+    if (!submission.ok) return exchange.sendFailure(submission)
+    const accepted = await this.submissionApi.submit({ ...submission.value, host: exchange.host, path: exchange.path, workspace: workspaceOf(caller) })
+    if (accepted.ok) exchange.send(ACCEPTED, {}, '')
+    else exchange.sendFailure(accepted)
   }
 
-  async serve (exchange: FrontExchange, read: Exclude<FrontRequest, { type: 'routed' }>, caller: CallerIdentity): Promise<void> {
+  async serve (exchange: FrontExchange, parsedRequest: Exclude<FrontRequest, { type: 'routed' }>, caller: CallerIdentity): Promise<void> {
     const workspace = workspaceOf(caller)
-    switch (read.type) {
+    switch (parsedRequest.type) {
       case 'read-results': {
-        const page = await this.desk.results({ id: read.step, workspace }, read.after, read.waitMs, exchange.gone)
-        if (!page.ok) return exchange.fail(page)
-        const { status, headers, body } = this.protocol.results(page.value.total, page.value.results, read.after)
+        const page = await this.submissionApi.results({ id: parsedRequest.step, workspace }, parsedRequest.after, parsedRequest.waitMs, exchange.disconnectSignal)
+        if (!page.ok) return exchange.sendFailure(page)
+        const { status, headers, body } = this.protocol.results(page.value.total, page.value.results, parsedRequest.after)
         return exchange.send(status, { ...headers }, body)
       }
       case 'read-body': {
-        const body = await this.desk.itemBody({ id: read.step, workspace }, read.item)
-        if (!body.ok) return exchange.fail(body)
+        const body = await this.submissionApi.itemBody({ id: parsedRequest.step, workspace }, parsedRequest.item)
+        if (!body.ok) return exchange.sendFailure(body)
         return exchange.send(OK, { 'content-type': 'application/octet-stream' }, Buffer.from(body.value, 'base64'))
       }
       case 'end-step': {
-        const ended = await this.desk.end({ id: read.step, workspace })
-        return ended.ok ? exchange.send(OK, {}, '') : exchange.fail(ended)
+        const ended = await this.submissionApi.end({ id: parsedRequest.step, workspace })
+        return ended.ok ? exchange.send(OK, {}, '') : exchange.sendFailure(ended)
       }
     }
   }
--- a/src/entry/node/router.ts
+++ b/src/entry/node/router.ts
@@ -1,4 +1,4 @@
-/** Routes by method and path. Each feature registers its own. */
+/** Routes requests by method and path. Each feature registers its own routes. */
 
 import type { Result } from '../../base/common/resultCode.ts'
 import { failure, success } from '../../base/common/resultCode.ts'
@@ -8,12 +8,12 @@
 export type Handler = (exchange: Exchange) => Promise<void>
 
 export interface Route {
-  /** Method, or `*` for any. */
+  /** HTTP method, or `*` for any. */
   readonly method: string
-  /** Path whose parts may be `:name`, or `*` at the end for the rest. */
+  /** Path pattern. A segment may be `:name` for a parameter, and the last one `*` for the remaining path. */
   readonly path: string
   readonly access: Access
-  /** True for calls of the system's own that must go on while this host stops or is behind. */
+  /** Marks calls within the system, which must continue while this host is stopping or lags behind. */
   readonly internal?: boolean
   readonly handle: Handler
 }
@@ -32,39 +32,39 @@
 
   /** Finds the route of a request. */
   match (method: string, path: string): Result<RouteMatch> {
-    const parts = path.split('/')
-    let pathKnown = false
+    const segments = path.split('/')
+    let pathMatched = false
     for (const { route, parts: pattern } of this.routes) {
-      const parameters = matchParts(pattern, parts)
+      const parameters = matchPathSegments(pattern, segments)
       if (parameters === undefined) continue
-      pathKnown = true
+      pathMatched = true
       if (route.method === '*' || route.method === method) return success({ route, parameters })
     }
-    return pathKnown ? failure('methodNotAllowed', `${path} does not take ${method}`) : failure('notFound', `there is no ${path}`)
+    return pathMatched ? failure('methodNotAllowed', `${path} does not support method ${method}`) : failure('notFound', `no route for path ${path}`)
   }
 }
 
-function matchParts (pattern: readonly string[], parts: readonly string[]): Record<string, string> | undefined {
+function matchPathSegments (pattern: readonly string[], segments: readonly string[]): Record<string, string> | undefined {
   const parameters: Record<string, string> = {}
   for (const [index, expected] of pattern.entries()) {
     if (expected === '*') {
-      parameters.rest = `/${parts.slice(index).join('/')}`
+      parameters.rest = `/${segments.slice(index).join('/')}`
       return parameters
     }
-    const part = parts[index]
-    if (part === undefined) return undefined
+    const segment = segments[index]
+    if (segment === undefined) return undefined
     if (expected.startsWith(':')) {
-      const decoded = decode(part)
+      const decoded = decodeSegment(segment)
       if (decoded === undefined || decoded === '') return undefined
       parameters[expected.slice(1)] = decoded
-    } else if (expected !== part) {
+    } else if (expected !== segment) {
       return undefined
     }
   }
-  return parts.length === pattern.length ? parameters : undefined
+  return segments.length === pattern.length ? parameters : undefined
 }
 
-function decode (part: string): string | undefined {
+function decodeSegment (part: string): string | undefined {
   try {
     return decodeURIComponent(part)
   } catch {
--- a/src/entry/node/routes/completionRoutes.ts
+++ b/src/entry/node/routes/completionRoutes.ts
@@ -1,4 +1,4 @@
-/** Completions for callers, whole or as a stream, and their cancelling. */
+/** Routes for completions, as a single response or a stream, and for cancelling them. */
 
 import { z } from 'zod'
 import { asPoolName } from '../../../base/common/ids.ts'
@@ -9,11 +9,11 @@
 import type { FoldView } from '../../../actors/common/log/controlLog.ts'
 import { prefixHashOf } from '../../../actors/common/samples/rolloutRunner.ts'
 import { findObject } from '../../../core/common/fold/configuration.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
 import type { CompletionPart } from '../../../ports/common/targets.ts'
-import { drained } from '../backpressure.ts'
+import { waitForDrain } from '../backpressure.ts'
 import type { Exchange } from '../exchange.ts'
 import type { Router } from '../router.ts'
 import type { RequestRegistry } from '../requestRegistry.ts'
@@ -31,7 +31,7 @@
   readonly fold: FoldView
   readonly registry: RequestRegistry
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly hash: Hash
   readonly metrics: Metrics
 }
@@ -45,27 +45,27 @@
   }
 
   private async complete (exchange: Exchange): Promise<void> {
-    const started = this.services.clock.monotonic()
-    const body = await exchange.json(bodySchema)
+    const startedAtMs = this.services.clock.monotonic()
+    const body = await exchange.readJson(bodySchema)
     if (!body.ok) return exchange.sendFailure(body)
-    const call = this.prepare(exchange, body.value, started)
+    const call = this.prepare(exchange, body.value, startedAtMs)
     if (!call.ok) return exchange.sendFailure(call)
-    const registered = this.services.registry.add(exchange.callerName, call.value.id, exchange.gone)
+    const registered = this.services.registry.register(exchange.callerName, call.value.id, exchange.disconnectSignal)
     try {
       const request = { ...call.value, signal: registered.signal }
       if (body.value.stream) await this.stream(exchange, request)
-      else await this.whole(exchange, request)
-      this.services.metrics.timing('completions.time', this.services.clock.monotonic() - started)
+      else await this.sendWhole(exchange, request)
+      this.services.metrics.timing('completions.time', this.services.clock.monotonic() - startedAtMs)
     } finally {
       registered.dispose()
     }
   }
 
-  private prepare (exchange: Exchange, body: z.infer<typeof bodySchema>, started: number): Result<Omit<CompletionCall, 'signal'>> {
-    if (!this.services.fold.fresh) return failure('stale', 'this host may be behind')
+  private prepare (exchange: Exchange, body: z.infer<typeof bodySchema>, startedAtMs: number): Result<Omit<CompletionCall, 'signal'>> {
+    if (!this.services.fold.fresh) return failure('stale', 'this host may not have the latest state')
     const name = exchange.parameters.lane ?? ''
     const lane = findObject(this.services.fold.state.configuration, 'lane', name)
-    if (lane === undefined) return failure('notFound', `there is no lane ${name}`)
+    if (lane === undefined) return failure('notFound', `lane ${name} does not exist`)
     return success({
       id: body.id ?? this.services.chance.id(),
       caller: exchange.callerName,
@@ -75,14 +75,14 @@
       callerLimit: lane.properties.callerLimit,
       prompt: body.prompt,
       maximumTokens: body.max_tokens,
-      deadline: started + (body.deadline_ms ?? lane.properties.deadline),
+      deadline: startedAtMs + (body.deadline_ms ?? lane.properties.deadline),
       prefix: prefixHashOf(this.services.hash, body.prompt)
     })
   }
 
-  private async whole (exchange: Exchange, call: CompletionCall): Promise<void> {
-    const outcome = await this.services.completions.run(this.namedForEngine(call), () => undefined)
-    if (!outcome.ok) return this.refuse(exchange, outcome)
+  private async sendWhole (exchange: Exchange, call: CompletionCall): Promise<void> {
+    const outcome = await this.services.completions.run(this.withEngineRequestId(call), () => undefined)
+    if (!outcome.ok) return this.reject(exchange, outcome)
     this.services.metrics.count('completions.whole')
     exchange.sendJson(200, { id: call.id, whole: true, text: outcome.value.text, tokens: outcome.value.tokens, segments: outcome.value.segments })
   }
@@ -90,27 +90,27 @@
   private async stream (exchange: Exchange, call: CompletionCall): Promise<void> {
     const writer = new StreamWriter(exchange, this.services.clock, this.heartbeatMs)
     try {
-      const outcome = await this.services.completions.run(this.namedForEngine(call), (part) => writer.part(part))
+      const outcome = await this.services.completions.run(this.withEngineRequestId(call), (part) => writer.writePart(part))
       if (outcome.ok) {
         this.services.metrics.count('completions.whole')
-        writer.complete(call.id, outcome.value)
+        writer.writeComplete(call.id, outcome.value)
       } else if (writer.started) {
         this.services.metrics.count(`completions.${outcome.code}`)
-        writer.fail(exchange.complete(outcome))
+        writer.writeFailure(exchange.withRetryAdvice(outcome))
       } else {
-        this.refuse(exchange, outcome)
+        this.reject(exchange, outcome)
       }
     } finally {
       writer.dispose()
     }
   }
 
-  /** Two callers may use the same id; engines see ids that differ. */
-  private namedForEngine (call: CompletionCall): CompletionCall {
+  /** Assigns a unique id for the engine, as two callers may use the same id. */
+  private withEngineRequestId (call: CompletionCall): CompletionCall {
     return { ...call, id: this.services.chance.id() }
   }
 
-  private refuse (exchange: Exchange, failed: Failure): void {
+  private reject (exchange: Exchange, failed: Failure): void {
     this.services.metrics.count(`completions.${failed.code}`)
     exchange.sendFailure(failed)
   }
@@ -118,41 +118,41 @@
   private cancel (exchange: Exchange): void {
     const id = exchange.parameters.id ?? ''
     const cancelled = this.services.registry.cancel(exchange.callerName, id)
-    if (!cancelled) return exchange.sendFailure(failure('notFound', `no request ${id} of yours is in flight at this host`))
+    if (!cancelled) return exchange.sendFailure(failure('notFound', `this host has no request ${id} of this caller in flight`))
     exchange.sendJson(200, { id, cancelled: true })
   }
 }
 
 /**
- * Writes a stream of server-sent events. The head goes out with the first part, so that a refusal
- * is an ordinary answer; or with the first heartbeat, so that a waiting caller can tell this host
- * from a connection that went silent.
+ * Writes a stream of server-sent events. The response head is sent with the first part, so that an
+ * earlier failure gets an ordinary error response, or with the first heartbeat, so that a waiting
+ * caller can tell that the connection is alive.
  */
 class StreamWriter implements Disposable {
   private readonly heartbeat: Disposable
-  private lastWrite: number
+  private lastWriteMs: number
   started = false
 
   constructor (private readonly exchange: Exchange, private readonly clock: Clock, heartbeatMs: number) {
-    this.lastWrite = clock.monotonic()
+    this.lastWriteMs = clock.monotonic()
     this.heartbeat = clock.every(heartbeatMs, () => {
-      if (clock.monotonic() - this.lastWrite >= heartbeatMs / 2) this.write(': heartbeat\n\n')
+      if (clock.monotonic() - this.lastWriteMs >= heartbeatMs / 2) this.write(': heartbeat\n\n')
     })
   }
 
-  part (part: CompletionPart): Promise<void> | undefined {
+  writePart (part: CompletionPart): Promise<void> | undefined {
     if (this.write(`data: ${part.raw}\n\n`)) return undefined
-    // The deadline of the call bounds the wait.
-    return drained(this.exchange.response)
+    // The deadline of the call limits this wait.
+    return waitForDrain(this.exchange.response)
   }
 
-  /** The marker that tells a whole answer from a cut one. */
-  complete (id: string, summary: CompletionSummary): void {
+  /** Writes the final event, which distinguishes a complete response from a truncated one. */
+  writeComplete (id: string, summary: CompletionSummary): void {
     this.write(`event: complete\ndata: ${JSON.stringify({ id, whole: true, tokens: summary.tokens, segments: summary.segments })}\n\n`)
     this.exchange.response.end()
   }
 
-  fail (failed: Failure): void {
+  writeFailure (failed: Failure): void {
     this.write(`event: error\ndata: ${JSON.stringify(failureBody(failed))}\n\n`)
     this.exchange.response.end()
   }
@@ -168,7 +168,7 @@
       this.started = true
       response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store', ...this.exchange.connectionHeader() })
     }
-    this.lastWrite = this.clock.monotonic()
+    this.lastWriteMs = this.clock.monotonic()
     return response.write(text)
   }
 }
--- a/src/entry/node/routes/hostRoutes.ts
+++ b/src/entry/node/routes/hostRoutes.ts
@@ -1,4 +1,4 @@
-/** Addresses for callers, statements of operators, and what the host tells of itself. */
+/** Routes for host addresses, health, metrics and operator statements. */
 
 import { z } from 'zod'
 import type { FoldView } from '../../../actors/common/log/controlLog.ts'
@@ -14,12 +14,12 @@
   wait: z.boolean().default(false)
 })
 
-/** Smallest weight of a host that is full: callers must still be able to find it. */
-const LEAST_WEIGHT = 0.05
+/** Weight of a host at full load. It is above zero so that callers can still find the host. */
+const MIN_WEIGHT = 0.05
 export interface HostRouteServices {
   readonly fold: FoldView
   readonly membership: MembershipView
-  readonly desk: OperatorService
+  readonly operatorApi: OperatorService
   readonly metrics: StatsdMetrics
 }
 
@@ -33,7 +33,7 @@
     router.register({ method: 'POST', path: '/v1/command', access: 'operator', handle: async (exchange) => { await this.command(exchange) } })
   }
 
-  /** Live hosts, this caller's place first; a host that leaves is no longer named. */
+  /** Lists live hosts, those in the failure domain of the caller first. Hosts that are leaving are not listed. */
   private addresses (exchange: Exchange): void {
     const { membership } = this.services
     const place = exchange.query.get('place') ?? membership.self.place
@@ -41,7 +41,7 @@
       .map((member) => ({
         address: member.address,
         place: member.place,
-        weight: Math.round(Math.max(LEAST_WEIGHT, 1 - (membership.loadOf(member.host) ?? 0)) * 1000) / 1000
+        weight: Math.round(Math.max(MIN_WEIGHT, 1 - (membership.loadOf(member.host) ?? 0)) * 1000) / 1000
       }))
       .sort((a, b) => Number(b.place === place) - Number(a.place === place) || b.weight - a.weight)
     exchange.sendJson(200, { addresses, valid_for_ms: this.validForMs })
@@ -59,10 +59,10 @@
   }
 
   private async command (exchange: Exchange): Promise<void> {
-    const body = await exchange.json(commandSchema)
+    const body = await exchange.readJson(commandSchema)
     if (!body.ok) return exchange.sendFailure(body)
     const { statement, id, wait } = body.value
-    const answer = await this.services.desk.run({ statement, wait, ...(id === undefined ? {} : { id }) }, { name: exchange.callerName })
+    const answer = await this.services.operatorApi.run({ statement, wait, ...(id === undefined ? {} : { id }) }, { name: exchange.callerName })
     if (answer.ok) exchange.sendJson(200, answer.value)
     else exchange.sendFailure(answer)
   }
--- a/src/entry/node/routes/peerRoutes.ts
+++ b/src/entry/node/routes/peerRoutes.ts
@@ -1,12 +1,12 @@
-/** Calls of the other hosts. */
+/** Route for calls from other hosts. */
 
 import type { JsonRpcHandlers } from '../../../adapters/node/jsonRpcPeers.ts'
 import { PEER_PATH } from '../../../adapters/node/jsonRpcPeers.ts'
 import type { Exchange } from '../exchange.ts'
 import type { Router } from '../router.ts'
 
-/** Bytes of a peer's call at most: it may carry the samples that the log does not take. */
-const PEER_BODY_BYTES = 64 * 1024 * 1024
+/** Large enough for a call that carries samples that the log does not accept. */
+const MAX_PEER_BODY_BYTES = 64 * 1024 * 1024
 
 export class PeerRoutes {
   constructor (private readonly handlers: JsonRpcHandlers) {}
@@ -16,7 +16,7 @@
   }
 
   private async answer (exchange: Exchange): Promise<void> {
-    const body = await exchange.text(PEER_BODY_BYTES)
+    const body = await exchange.readText(MAX_PEER_BODY_BYTES)
     if (!body.ok) return exchange.sendFailure(body)
     exchange.send(200, 'application/json', await this.handlers.receive(body.value))
   }
--- a/src/entry/node/routes/serviceRoutes.ts
+++ b/src/entry/node/routes/serviceRoutes.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services through a lane. */
+/** Routes for calls to HTTP services through a lane. */
 
 import { asPoolName } from '../../../base/common/ids.ts'
 import type { Result } from '../../../base/common/resultCode.ts'
@@ -6,9 +6,9 @@
 import type { FoldView } from '../../../actors/common/log/controlLog.ts'
 import type { ServiceCalls, ServiceRequest } from '../../../actors/common/requests/serviceCalls.ts'
 import { findObject } from '../../../core/common/fold/configuration.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Metrics } from '../../../ports/common/observation.ts'
-import type { ServiceAnswer } from '../../../ports/common/targets.ts'
+import type { ServiceResponse } from '../../../ports/common/targets.ts'
 import type { Exchange } from '../exchange.ts'
 import type { RequestRegistry } from '../requestRegistry.ts'
 import type { Router } from '../router.ts'
@@ -18,16 +18,16 @@
   readonly fold: FoldView
   readonly registry: RequestRegistry
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly metrics: Metrics
 }
 
-/** Methods that may be repeated without saying so. */
-const idempotentMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'])
-const ID_PATTERN = /^[\x21-\x7e]{1,200}$/
+/** Methods that are idempotent unless the `x-idempotent` header says otherwise. */
+const IDEMPOTENT_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'])
+const REQUEST_ID_PATTERN = /^[\x21-\x7e]{1,200}$/
 
-/** How a call may be treated, by its method and headers. */
-type Repetition =
+/** Whether and how a call may be repeated, according to its method and headers. */
+type RepeatPolicy =
   | { readonly type: 'idempotent' }
   | { readonly type: 'once', readonly id: string, readonly issuedAt: number }
   | { readonly type: 'unnamed' }
@@ -40,37 +40,37 @@
   }
 
   private async call (exchange: Exchange): Promise<void> {
-    const started = this.services.clock.monotonic()
-    const repetition = readRepetition(exchange)
-    if (!repetition.ok) return exchange.sendFailure(repetition)
-    const body = await exchange.text()
+    const startedAtMs = this.services.clock.monotonic()
+    const repeatPolicy = readRepeatPolicy(exchange)
+    if (!repeatPolicy.ok) return exchange.sendFailure(repeatPolicy)
+    const body = await exchange.readText()
     if (!body.ok) return exchange.sendFailure(body)
-    const request = this.prepare(exchange, body.value, started)
+    const request = this.prepare(exchange, body.value, startedAtMs)
     if (!request.ok) return exchange.sendFailure(request)
-    const registered = this.services.registry.add(exchange.callerName, request.value.id, exchange.gone)
+    const registered = this.services.registry.register(exchange.callerName, request.value.id, exchange.disconnectSignal)
     try {
-      const outcome = await this.run({ ...request.value, signal: registered.signal }, repetition.value)
-      this.answer(exchange, request.value.id, outcome)
-      this.services.metrics.timing('services.time', this.services.clock.monotonic() - started)
+      const outcome = await this.run({ ...request.value, signal: registered.signal }, repeatPolicy.value)
+      this.sendOutcome(exchange, request.value.id, outcome)
+      this.services.metrics.timing('services.time', this.services.clock.monotonic() - startedAtMs)
     } finally {
       registered.dispose()
     }
   }
 
-  private async run (request: ServiceRequest, repetition: Repetition): Promise<Result<ServiceAnswer>> {
-    switch (repetition.type) {
+  private async run (request: ServiceRequest, repeatPolicy: RepeatPolicy): Promise<Result<ServiceResponse>> {
+    switch (repeatPolicy.type) {
       case 'idempotent': return await this.services.calls.run(request)
-      case 'once': return await this.services.calls.runOnce({ ...request, id: repetition.id, issuedAt: repetition.issuedAt })
+      case 'once': return await this.services.calls.runOnce({ ...request, id: repeatPolicy.id, issuedAt: repeatPolicy.issuedAt })
       case 'unnamed': return await this.services.calls.runWithoutId(request)
     }
   }
 
-  private prepare (exchange: Exchange, body: string, started: number): Result<Omit<ServiceRequest, 'signal'>> {
-    if (!this.services.fold.fresh) return failure('stale', 'this host may be behind')
+  private prepare (exchange: Exchange, body: string, startedAtMs: number): Result<Omit<ServiceRequest, 'signal'>> {
+    if (!this.services.fold.fresh) return failure('stale', 'this host may not have the latest state')
     const name = exchange.parameters.lane ?? ''
     const lane = findObject(this.services.fold.state.configuration, 'lane', name)
-    if (lane === undefined) return failure('notFound', `there is no lane ${name}`)
-    const deadlineMs = readNumber(exchange.header('x-deadline-ms')) ?? lane.properties.deadline
+    if (lane === undefined) return failure('notFound', `lane ${name} does not exist`)
+    const deadlineMs = parseInteger(exchange.header('x-deadline-ms')) ?? lane.properties.deadline
     const contentType = exchange.header('content-type')
     const query = exchange.query.toString()
     return success({
@@ -82,13 +82,13 @@
       callerLimit: lane.properties.callerLimit,
       method: exchange.request.method ?? 'GET',
       path: `${exchange.parameters.rest ?? '/'}${query === '' ? '' : `?${query}`}`,
-      deadline: started + deadlineMs,
+      deadline: startedAtMs + deadlineMs,
       ...(contentType === undefined ? {} : { contentType }),
       ...(body === '' ? {} : { body })
     })
   }
 
-  private answer (exchange: Exchange, id: string, outcome: Result<ServiceAnswer>): void {
+  private sendOutcome (exchange: Exchange, id: string, outcome: Result<ServiceResponse>): void {
     if (!outcome.ok) {
       this.services.metrics.count(`services.${outcome.code}`)
       exchange.sendFailure(outcome)
@@ -100,25 +100,25 @@
 }
 
 /**
- * `x-idempotent: false` with `x-request-id` and `x-issued-at` makes a call run at most once however
- * often it is repeated. Without an id it cannot be recognised when repeated: it is sent once from
- * here, and what a repeat does is the caller's matter.
+ * Reads how a call may be repeated. `x-idempotent: false` with `x-request-id` and `x-issued-at` makes
+ * a call run at most once, even if it is repeated. Without an id, a repeated call cannot be recognized:
+ * this host sends each call once, and the caller is responsible for the effect of repeats.
  */
-function readRepetition (exchange: Exchange): Result<Repetition> {
-  const said = exchange.header('x-idempotent')
-  if (said !== undefined && said !== 'true' && said !== 'false') return failure('malformed', 'x-idempotent is true or false')
+function readRepeatPolicy (exchange: Exchange): Result<RepeatPolicy> {
+  const idempotentHeader = exchange.header('x-idempotent')
+  if (idempotentHeader !== undefined && idempotentHeader !== 'true' && idempotentHeader !== 'false') return failure('malformed', 'x-idempotent must be true or false')
   const id = exchange.header('x-request-id')
-  if (id !== undefined && !ID_PATTERN.test(id)) return failure('malformed', 'x-request-id has 1 to 200 printable characters without spaces')
+  if (id !== undefined && !REQUEST_ID_PATTERN.test(id)) return failure('malformed', 'x-request-id must be 1 to 200 printable ASCII characters without spaces')
   const deadline = exchange.header('x-deadline-ms')
-  if (deadline !== undefined && !((readNumber(deadline) ?? 0) > 0)) return failure('malformed', 'x-deadline-ms is a whole number of milliseconds')
-  const idempotent = said === undefined ? idempotentMethods.has(exchange.request.method ?? '') : said === 'true'
+  if (deadline !== undefined && !((parseInteger(deadline) ?? 0) > 0)) return failure('malformed', 'x-deadline-ms must be a positive integer number of milliseconds')
+  const idempotent = idempotentHeader === undefined ? IDEMPOTENT_METHODS.has(exchange.request.method ?? '') : idempotentHeader === 'true'
   if (idempotent) return success({ type: 'idempotent' })
   if (id === undefined) return success({ type: 'unnamed' })
-  const issuedAt = readNumber(exchange.header('x-issued-at'))
-  if (issuedAt === undefined) return failure('malformed', 'x-issued-at, in milliseconds since the epoch, goes with the id of a call that may not be repeated')
+  const issuedAt = parseInteger(exchange.header('x-issued-at'))
+  if (issuedAt === undefined) return failure('malformed', 'a call with x-request-id that is not idempotent needs x-issued-at, in milliseconds since the epoch')
   return success({ type: 'once', id, issuedAt })
 }
 
-function readNumber (text: string | undefined): number | undefined {
+function parseInteger (text: string | undefined): number | undefined {
   return text !== undefined && /^\d{1,15}$/.test(text) ? Number(text) : undefined
 }
--- a/src/host/node/hostGauges.ts
+++ b/src/host/node/hostGauges.ts
@@ -1,33 +1,33 @@
-/** Gauges of a host of routes, set when a scraper asks. */
+/** Gauges of a host that serves routes, updated on each scrape. */
 
 import type { ItemState } from '../../actors/common/steps/stepWork.ts'
 import type { Metrics } from '../../ports/common/observation.ts'
 
 export type ItemCounts = Readonly<Record<ItemState, number>>
 
-/** What the gauges show. */
-export interface HostState {
+/** The values that the gauges report. */
+export interface HostGaugeValues {
   readonly duty: { readonly term: number, readonly alone: boolean }
-  /** Requests of callers in flight. */
+  /** Number of caller requests in flight. */
   readonly requests: number
   readonly items: ItemCounts
-  /** Records that the store has not confirmed. */
+  /** Number of records that the store has not confirmed. */
   readonly backlog: number
-  /** Requests that are held back since targets ended under them. */
+  /** Number of requests in quarantine because targets crashed while processing them. */
   readonly held: number
-  /** Last window up to which all usage is reported; absent where this host does not know. */
+  /** Last window up to which all usage is reported. Absent if this host does not know it. */
   readonly usageReportedThrough?: number | undefined
   readonly targets: { readonly known: number, readonly suspect: number }
 }
 
-/** Numbers of items by state. */
+/** Counts items by state. */
 export function countItems (items: Iterable<{ readonly state: ItemState }>): ItemCounts {
   const counts = { waiting: 0, running: 0, scoring: 0, listing: 0 }
   for (const { state } of items) counts[state]++
   return counts
 }
 
-export function setGauges (metrics: Metrics, { duty, requests, items, backlog, held, usageReportedThrough, targets }: HostState): void {
+export function setGauges (metrics: Metrics, { duty, requests, items, backlog, held, usageReportedThrough, targets }: HostGaugeValues): void {
   metrics.gauge('duty.term', duty.term)
   metrics.gauge('duty.alone', duty.alone ? 1 : 0)
   metrics.gauge('front.requests', requests)
--- a/src/host/node/routed/hostBase.ts
+++ b/src/host/node/routed/hostContext.ts
@@ -1,10 +1,10 @@
-/** What every part of a host of routes and steps is given: its settings, its name, clocks, counters and log, and what ends with it. */
+/** The context shared by all parts of a host that serves routes and steps: settings, identity, clock, metrics, log and disposables. */
 
 import { start } from 'nact'
 import { randomUUID } from 'node:crypto'
 import type { TaskSystem } from '../../../actors/common/task.ts'
-import { NodeChance, NodeClock } from '../../../adapters/node/nodeClock.ts'
-import { ScrapedMetrics } from '../../../adapters/node/scrapedMetrics.ts'
+import { NodeRandomSource, NodeClock } from '../../../adapters/node/nodeClock.ts'
+import { PrometheusMetrics } from '../../../adapters/node/prometheusMetrics.ts'
 import { StandardOutput } from '../../../adapters/node/standardOutput.ts'
 import { StatsdMetrics } from '../../../adapters/node/statsdMetrics.ts'
 import { StructuredLog } from '../../../adapters/node/structuredLog.ts'
@@ -13,42 +13,42 @@
 import { asHostId } from '../../../base/common/ids.ts'
 import { DisposableStore } from '../../../base/common/lifecycle.ts'
 import { disabledMechanisms } from '../../../core/common/mechanisms.ts'
-import type { Chance, Clock } from '../../../ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../../ports/common/clock.ts'
 import type { Hash } from '../../../ports/common/hash.ts'
 import type { RoutedSettings } from '../../../settings/common/routedSettings.ts'
 
-/** Services that most parts use. */
-export interface BaseServices {
+/** Services that most parts of the host use. */
+export interface HostServices {
   readonly system: TaskSystem
   readonly clock: Clock
-  readonly chance: Chance
+  readonly chance: RandomSource
   readonly hash: Hash
-  readonly metrics: ScrapedMetrics
+  readonly metrics: PrometheusMetrics
   readonly stateLog: StructuredLog
 }
 
-export interface HostBase {
+export interface HostContext {
   readonly settings: RoutedSettings
-  /** Name of this life of the host: `machine/life`. */
+  /** Identifies this incarnation of the host, as `machine/incarnation`. */
   readonly host: HostId
   readonly machine: string
-  /** Usual cores that this host may use. */
+  /** Processor capacity that this host may use, in standard cores. */
   readonly processor: number
-  /** Where other hosts connect. */
+  /** Address at which other hosts connect to this host. */
   readonly ownAddress: string
   readonly output: StandardOutput
-  readonly services: BaseServices
+  readonly services: HostServices
   readonly disposables: DisposableStore
 }
 
-/** @param itemsUnderway items that this host runs now: it may write more lines while it has more */
-export async function createBase (settings: RoutedSettings, itemsUnderway: () => number): Promise<HostBase> {
+/** @param runningItemCount returns the number of items that this host runs; the limit on log lines grows with it */
+export async function createHostContext (settings: RoutedSettings, runningItemCount: () => number): Promise<HostContext> {
   const disposables = new DisposableStore()
   const { name: machine, place, processor_share: share, processor_speed: speed, log_level: level } = settings.host
   const host = asHostId(`${machine}/${randomUUID().slice(0, 8)}`)
-  const metrics = new ScrapedMetrics(machine, disposables.add(new StatsdMetrics(settings.metrics?.collector, host)))
+  const metrics = new PrometheusMetrics(machine, disposables.add(new StatsdMetrics(settings.metrics?.collector, host)))
   const output = new StandardOutput()
-  const stateLog = new StructuredLog(host, level, output, itemsUnderway)
+  const stateLog = new StructuredLog(host, level, output, runningItemCount)
   for (const mechanism of disabledMechanisms(settings.mechanisms)) stateLog.changed('mechanism left out', { mechanism })
   stateLog.changed('start', { place, callers: settings.listen.callers, store: settings.store.address })
   return {
@@ -58,7 +58,7 @@
     processor: share * speed,
     ownAddress: `http://${settings.listen.peers}`,
     output,
-    services: { system: start(), clock: new NodeClock(), chance: new NodeChance(), hash: await createHash(), metrics, stateLog },
+    services: { system: start(), clock: new NodeClock(), chance: new NodeRandomSource(), hash: await createHash(), metrics, stateLog },
     disposables
   }
 }
--- a/src/host/node/routed/hostServers.ts
+++ b/src/host/node/routed/hostServers.ts
@@ -1,4 +1,4 @@
-/** Where a host is reached: by callers, by those who ask which hosts to use, and by other hosts. */
+/** The servers of a host: for callers, for address and readiness queries, and for other hosts. */
 
 import type { Membership } from '../../../actors/common/membership/membership.ts'
 import { CallerAuthenticator } from '../../../actors/common/identity/callerAuthenticator.ts'
@@ -12,20 +12,20 @@
 import { Router } from '../../../entry/node/router.ts'
 import { frontProtocol } from '../../../../platform/index.ts'
 import type { FollowedTopics } from './followedTopics.ts'
-import type { HostBase } from './hostBase.ts'
+import type { HostContext } from './hostContext.ts'
 import type { HostSteps } from './hostSteps.ts'
 import type { OtherHosts } from './otherHosts.ts'
-import { PEER_SILENCE_MS } from './otherHosts.ts'
+import { PEER_IDLE_TIMEOUT_MS } from './otherHosts.ts'
 
-/** Calls of other hosts that are served at once: a few for each of the hosts that know this one. */
-const PEER_REQUESTS = 256
+/** Allows a few concurrent calls from each host that knows this one. */
+const MAX_PEER_REQUESTS = 256
 
-export interface ServedParts {
+export interface HostServerDependencies {
   readonly others: OtherHosts
   readonly topics: FollowedTopics
   readonly steps: HostSteps
   readonly forward: ForwardRoutes
-  readonly isLeaving: () => boolean
+  readonly isStopping: () => boolean
 }
 
 export interface HostServers {
@@ -34,23 +34,23 @@
   listen (): Promise<void>
 }
 
-export function createServers (base: HostBase, { others, topics, steps, forward, isLeaving }: ServedParts): HostServers {
-  const { settings, services, disposables } = base
+export function createHostServers (context: HostContext, { others, topics, steps, forward, isStopping }: HostServerDependencies): HostServers {
+  const { settings, services, disposables } = context
   const { limits, listen } = settings
   const { operator, targetTopic, topic } = topics
-  const isReady = (): boolean => !isLeaving() && operator.routes !== undefined && targetTopic.loaded && topic.loaded
+  const isReady = (): boolean => !isStopping() && operator.routes !== undefined && targetTopic.loaded && topic.loaded
   const front = disposables.add(new FrontServer({
     ...services,
     protocol: frontProtocol,
     operator,
-    gate: new CallerAuthenticator({ ...services, operator }, { maxRevocationDelayMs: settings.identity.revocation }),
+    callerAuthenticator: new CallerAuthenticator({ ...services, operator }, { maxRevocationDelayMs: settings.identity.revocation }),
     whenLoaded: async (need, limitMs) => { await Promise.all((need === 'routes' ? [operator, targetTopic] : [operator, topic]).map(async (followed) => await followed.whenLoaded(limitMs))) },
     forward,
-    steps: new StepRoutes(steps.desk, frontProtocol)
-  }, { listen: listen.callers, maximumConnections: limits.connections, headBytes: limits.head_bytes, heldBytes: limits.held_bytes, isLeaving }))
-  const addresses = (): string[] => callersAddresses(base, others.membership, isReady)
+    steps: new StepRoutes(steps.submissionApi, frontProtocol)
+  }, { listen: listen.callers, maximumConnections: limits.connections, maximumHeadBytes: limits.head_bytes, maximumBufferedBytes: limits.held_bytes, isStopping }))
+  const addresses = (): string[] => callerAddresses(context, others.membership, isReady)
   const [directory, readiness] = [0, 1].map(() => disposables.add(new DirectoryServer({ protocol: frontProtocol, isReady, addresses }, limits.valid_for))) as [DirectoryServer, DirectoryServer]
-  const peerServer = createPeerServer(base, others, isLeaving)
+  const peerServer = createPeerServer(context, others, isStopping)
   return {
     front,
     isReady,
@@ -58,25 +58,25 @@
   }
 }
 
-/** Where callers may connect. All hosts of a deployment use the same ports, so a member's callers' address is its own IP with this host's port. */
-function callersAddresses ({ settings, host }: HostBase, membership: Membership, isReady: () => boolean): string[] {
+/** Lists the addresses at which callers may connect. All hosts of a deployment use the same ports, so a member's address for callers is its IP with this host's port. */
+function callerAddresses ({ settings, host }: HostContext, membership: Membership, isReady: () => boolean): string[] {
   const { port } = new URL(`http://${settings.listen.callers}`)
   return membership.available()
     .filter((member) => member.host === host ? isReady() : (membership.loadOf(member.host) ?? 1) < 1)
     .map((member) => `${new URL(member.address).hostname}:${port}`)
 }
 
-function createPeerServer ({ settings, services, disposables }: HostBase, { handlers }: OtherHosts, isLeaving: () => boolean): EntryServer {
+function createPeerServer ({ settings, services, disposables }: HostContext, { handlers }: OtherHosts, isStopping: () => boolean): EntryServer {
   const router = new Router()
   new PeerRoutes(handlers).register(router)
   return disposables.add(new EntryServer({ ...services, router, identities: new Identities({ peers: settings.peers, callers: [], operators: [] }) }, {
     listen: settings.listen.peers,
     maximumConnections: settings.limits.connections,
-    maximumRequests: PEER_REQUESTS,
-    bodyTimeoutMs: PEER_SILENCE_MS,
+    maximumRequests: MAX_PEER_REQUESTS,
+    bodyTimeoutMs: PEER_IDLE_TIMEOUT_MS,
     maximumBodyBytes: settings.store.call_bytes,
     chance: services.chance,
     alternatives: () => [],
-    leaving: isLeaving
+    leaving: isStopping
   }))
 }
--- a/src/host/node/routed/otherHosts.ts
+++ b/src/host/node/routed/otherHosts.ts
@@ -1,17 +1,17 @@
-/** How a host reaches the other hosts, which of them it knows, and what it is among them. */
+/** Wires up communication with other hosts, membership, and this host's rank among candidates for the duty. */
 
 import { DutyCandidacy } from '../../../actors/common/duties/dutyCandidacy.ts'
 import { Membership } from '../../../actors/common/membership/membership.ts'
-import { Connections } from '../../../adapters/node/connections.ts'
+import { ConnectionPools } from '../../../adapters/node/connectionPools.ts'
 import { JsonRpcHandlers, JsonRpcPeers } from '../../../adapters/node/jsonRpcPeers.ts'
-import { asPlace } from '../../../base/common/ids.ts'
-import type { HostBase } from './hostBase.ts'
+import { asFailureDomain } from '../../../base/common/ids.ts'
+import type { HostContext } from './hostContext.ts'
 
-/** The duty of running the steps. */
+/** Name of the duty whose holder runs the steps. */
 export const STEPS_DUTY = 'steps'
-/** Longest silence of another host within a call or of one that calls, in milliseconds. */
-export const PEER_SILENCE_MS = 5000
-const PEER_CONNECTIONS = 16
+/** Limits how long another host may send nothing during a call, in either direction. */
+export const PEER_IDLE_TIMEOUT_MS = 5000
+const MAX_PEER_CONNECTIONS = 16
 
 export interface OtherHosts {
   readonly peers: JsonRpcPeers
@@ -20,20 +20,20 @@
   readonly standing: DutyCandidacy
 }
 
-export function createOtherHosts ({ settings, host, ownAddress, processor, services, disposables }: HostBase): OtherHosts {
-  const { limits, membership: known, mechanisms } = settings
-  const connections = disposables.add(new Connections({ maximumAnswerBytes: limits.answer_bytes, connectTimeoutMs: limits.connect_timeout, connections: PEER_CONNECTIONS, silenceMs: PEER_SILENCE_MS }))
+export function createOtherHosts ({ settings, host, ownAddress, processor, services, disposables }: HostContext): OtherHosts {
+  const { limits, membership: membershipSettings, mechanisms } = settings
+  const connections = disposables.add(new ConnectionPools({ maximumAnswerBytes: limits.answer_bytes, connectTimeoutMs: limits.connect_timeout, connections: MAX_PEER_CONNECTIONS, inactivityTimeoutMs: PEER_IDLE_TIMEOUT_MS }))
   const peers = new JsonRpcPeers(connections, connections, settings.peers.key, services.metrics)
   const handlers = new JsonRpcHandlers()
   const membership = disposables.add(new Membership({ ...services, peers, handlers }, {
-    seeds: known.seeds.filter((address) => address !== ownAddress),
-    probePeriodMs: known.probe_period,
-    probeTimeoutMs: known.probe_timeout,
-    indirect: known.indirect,
-    suspicionMs: known.suspicion,
-    forgetMs: known.forget,
-    fullExchangeIntervalMs: known.full_exchange
-  }, { host, address: ownAddress, place: asPlace(settings.host.place), processor }))
+    seeds: membershipSettings.seeds.filter((address) => address !== ownAddress),
+    probePeriodMs: membershipSettings.probe_period,
+    probeTimeoutMs: membershipSettings.probe_timeout,
+    indirect: membershipSettings.indirect,
+    suspicionMs: membershipSettings.suspicion,
+    forgetMs: membershipSettings.forget,
+    fullExchangeIntervalMs: membershipSettings.full_exchange
+  }, { host, address: ownAddress, place: asFailureDomain(settings.host.place), processor }))
   const standing = new DutyCandidacy({ ...services, membership }, { duty: STEPS_DUTY, host, processor: mechanisms.small_host_delay ? processor : undefined })
   return { peers, handlers, membership, standing }
 }
--- a/src/host/node/settingsReloader.ts
+++ b/src/host/node/settingsReloader.ts
@@ -1,7 +1,7 @@
 /**
- * Takes changed settings over while the host runs. Only the ways into the membership take effect at
- * once; addresses and limits hold until the next start, and the log says so. Settings with mistakes
- * are reported and change nothing.
+ * Applies changed settings while the host runs. Only the membership seeds take effect at once;
+ * other changed tables, such as addresses and limits, take effect on the next start and are listed
+ * in the log. Invalid settings are logged and change nothing.
  */
 
 import type { Result } from '../../base/common/resultCode.ts'
@@ -15,35 +15,35 @@
 
   constructor (
     private current: RoutedSettings,
-    private readonly read: () => Result<HostSettings>,
+    private readonly readSettings: () => Result<HostSettings>,
     private readonly apply: (settings: RoutedSettings) => void,
     private readonly stateLog: StateLog
   ) {
     this.text = JSON.stringify(current)
   }
 
-  /** Reads the settings and applies them if they changed. */
-  look (): void {
-    const read = this.read()
-    if (!read.ok) return this.report(read.message)
-    if (read.value.type !== 'routes') return this.report('the settings are those of a host of another kind')
+  /** Reads the settings and applies them if they have changed. */
+  reloadIfChanged (): void {
+    const result = this.readSettings()
+    if (!result.ok) return this.reportOnce(result.message)
+    if (result.value.type !== 'routes') return this.reportOnce('the settings are for another type of host')
     this.mistake = ''
-    const text = JSON.stringify(read.value.settings)
+    const text = JSON.stringify(result.value.settings)
     if (text === this.text) return
-    const later = this.needsRestart(read.value.settings)
-    this.stateLog.changed('settings reloaded', { seeds: read.value.settings.membership.seeds.length, holdAfterRestart: later.join(' ') })
+    const tablesNeedingRestart = this.needsRestart(result.value.settings)
+    this.stateLog.changed('settings reloaded', { seeds: result.value.settings.membership.seeds.length, holdAfterRestart: tablesNeedingRestart.join(' ') })
     this.text = text
-    this.current = read.value.settings
-    this.apply(read.value.settings)
+    this.current = result.value.settings
+    this.apply(result.value.settings)
   }
 
-  /** Tables that differ and are not applied while the host runs. */
+  /** Lists the changed tables that are not applied while the host runs. */
   private needsRestart (next: RoutedSettings): string[] {
     const tables = Object.keys(next) as (keyof RoutedSettings)[]
     return tables.filter((table) => table !== 'membership' && JSON.stringify(next[table]) !== JSON.stringify(this.current[table]))
   }
 
-  private report (mistake: string): void {
+  private reportOnce (mistake: string): void {
     if (mistake === this.mistake) return
     this.mistake = mistake
     this.stateLog.alarm('settings cannot be reloaded', { mistake })
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,18 +1,18 @@
 /**
- * The program. A host's own start goes past the command line for people, and loads only the kind of host that its settings
- * ask for. What goes wrong otherwise: when a whole deployment starts again, each host spends a third more of its processor
- * on modules that it never uses, and answers its first callers that much later.
+ * Entry point of the program. Starting a host bypasses the interactive command line and loads only the type of host that
+ * the settings ask for. Otherwise, when a whole deployment restarts, each host spends a third more processor time on
+ * modules that it never uses, and answers its first callers that much later.
  */
 
 import type { HostSettings } from './settings/node/readSettings.ts'
 import { readSettings } from './settings/node/readSettings.ts'
-import { refuseSettings } from './settings/node/refuseSettings.ts'
+import { reportInvalidSettings } from './settings/node/reportInvalidSettings.ts'
 
 const EXIT_FAILED = 1
 
 interface RunningHost {
-  /** Reads the settings again, where the host can. */
-  readonly look?: () => void
+  /** Reads the settings again. Absent if the host does not support reloading. */
+  readonly reloadSettings?: () => void
   stop (): Promise<void>
 }
 
@@ -25,16 +25,16 @@
 
 async function serve (path: string): Promise<void> {
   const settings = readSettings(path)
-  if (!settings.ok) return refuseSettings(settings)
+  if (!settings.ok) return reportInvalidSettings(settings)
   process.on('unhandledRejection', (reason) => { process.stderr.write(`${JSON.stringify({ type: 'alarm', what: 'unhandled rejection', error: String(reason) })}\n`) })
   const host = await startHost(settings.value, path)
   const stop = (): void => { host.stop().then(() => process.exit(0), () => process.exit(EXIT_FAILED)) }
   process.on('SIGTERM', stop)
   process.on('SIGINT', stop)
-  process.on('SIGHUP', () => { host.look?.() })
+  process.on('SIGHUP', () => { host.reloadSettings?.() })
 }
 
-/** Runs the program. `serve --settings PATH` is how a platform starts a host; all other words are for the command line. */
+/** Starts a host for `serve --settings PATH`, which is how a platform starts one; passes all other arguments to the command line. */
 async function main (argv: readonly string[]): Promise<void> {
   const [command, option, path] = argv
   if (argv.length === 3 && command === 'serve' && option === '--settings' && path !== undefined) return await serve(path)
--- a/src/ports/common/clock.ts
+++ b/src/ports/common/clock.ts
@@ -1,5 +1,5 @@
 /**
- * Time and chance as services. Decisions receive them, so that a test can set both.
+ * Ports to clocks and random numbers. Decision logic receives them as parameters, so that tests can control both.
  */
 
 import type { Disposable } from '../../base/common/lifecycle.ts'
@@ -7,9 +7,9 @@
 
 /** Clocks of this host. */
 export interface Clock {
-  /** Milliseconds on a clock that never goes back; never compared between hosts. */
+  /** Returns milliseconds on a clock that never goes back. Values of different hosts are not comparable. */
   monotonic (): number
-  /** Milliseconds since the epoch; only ever a stamp in a record. */
+  /** Returns milliseconds since the epoch; used only for timestamps in records. */
   wall (): number
   /** Runs `task` once after `delayMs`. */
   after (delayMs: number, task: () => void): Disposable
@@ -17,20 +17,20 @@
   every (periodMs: number, task: () => void): Disposable
 }
 
-/** This moment on both clocks. */
-export function nowOf (clock: Clock): Instant {
+/** Reads both clocks. */
+export function currentInstant (clock: Clock): Instant {
   return { monotonic: clock.monotonic(), wall: clock.wall() }
 }
 
-/** Lets time pass on a clock. */
+/** Waits for a duration on a clock. */
 export async function pause (clock: Clock, milliseconds: number): Promise<void> {
   await new Promise<void>((resolve) => { clock.after(milliseconds, resolve) })
 }
 
 /** Source of random numbers. */
-export interface Chance {
-  /** A number from 0 up to but without 1. */
+export interface RandomSource {
+  /** Returns a number in the range [0, 1). */
   next (): number
-  /** An identifier that no other call on any host returns. */
+  /** Returns a globally unique identifier. */
   id (): string
 }
--- a/src/ports/common/fingerprints.ts
+++ b/src/ports/common/fingerprints.ts
@@ -1,19 +1,19 @@
-/** Port for digests of requests: what is asked again is recognised, whatever id it has and whichever host it comes to. */
+/** Port for digests of requests. They identify a repeated request regardless of its id and of the host that receives it. */
 
 import type { RequestFingerprint } from '../../base/common/ids.ts'
 
-/** What a request asks, without what is new in each of its repeats. */
+/** Content of a request, without the parts that differ between its repeats. */
 export interface RequestContent {
   readonly host: string
   readonly method: string
-  /** With its query. */
+  /** Path including the query. */
   readonly path: string
-  /** What the caller shows of itself, where callers have to. */
+  /** Credentials that the caller presents, if the route requires them. */
   readonly caller: string | undefined
   readonly body: Uint8Array | string | undefined
 }
 
 export interface Fingerprints {
-  /** A digest that nobody can have two contents share on purpose; the content cannot be read from it. It is made once for each content object. */
+  /** Returns a collision-resistant digest from which the content cannot be recovered. It is computed once for each content object. */
   of (content: RequestContent): RequestFingerprint
 }
--- a/src/ports/common/hash.ts
+++ b/src/ports/common/hash.ts
@@ -1,9 +1,9 @@
-/** Hashing as a service: the decisions need it synchronously, the library starts asynchronously. */
+/** Port to a hash function. It is a port because decision logic needs it synchronously, while the library loads asynchronously. */
 
-/** A 64-bit hash, alike on all hosts. */
+/** A non-cryptographic hash that is the same on all hosts. */
 export interface Hash {
-  /** Hash of a text as 16 hexadecimal digits. */
+  /** Returns the 64-bit hash of a text as 16 hexadecimal digits. */
   digest (text: string): string
-  /** Hash of a text as a number of 32 bits. */
+  /** Returns the 32-bit hash of a text. */
   number (text: string): number
 }
--- a/src/ports/common/observation.ts
+++ b/src/ports/common/observation.ts
@@ -1,9 +1,9 @@
-/** Ports for what the system tells about itself: counters, changes of state, and decisions. */
+/** Ports for observability: metrics and structured log lines. */
 
 import type { CounterName, GaugeName, TimingName } from '../../base/common/metricNames.ts'
 import type { AlarmEvent, ChangedEvent, DecidedEvent } from '../../base/common/logEvents.ts'
 
-/** Counters and measures; docs/METRICS.md lists them. */
+/** Counters, gauges and timings; docs/METRICS.md lists them. */
 export interface Metrics {
   count (name: CounterName, by?: number): void
   gauge (name: GaugeName, value: number): void
@@ -14,10 +14,10 @@
 
 /** Structured log lines. */
 export interface StateLog {
-  /** What this process believes has changed. */
+  /** Logs a change of the state that this process knows. */
   changed (what: ChangedEvent, details: LogDetails): void
-  /** Something is wrong that an operator may have to mend. */
+  /** Logs a problem that may need the attention of an operator. */
   alarm (what: AlarmEvent, details: LogDetails): void
-  /** A decision on a request; dropped, and counted, where there are too many. */
+  /** Logs a decision on a request. Lines above the rate limit are dropped and counted. */
   decided (what: DecidedEvent, details: LogDetails): void
 }
--- a/src/ports/common/platformDuties.ts
+++ b/src/ports/common/platformDuties.ts
@@ -1,20 +1,20 @@
 /**
- * Port to what the platform wants of one host at a time. Each call names the holder of the duty and its term, which rises with each
- * holder.
+ * Port to platform calls that only one host at a time makes, the holder of the duty. Each call carries the holder's name and its
+ * term, which increases with each new holder and serves as a fencing token.
  */
 
 import type { SealedWindow } from '../../core/common/usage/usageFold.ts'
 
-/** Who acts: the machine that holds the duty, and the term in which it does. */
+/** The host that holds a duty, and the term of its tenure. */
 export interface DutyHolder {
   readonly name: string
   readonly term: number
 }
 
-/** `later`: too many calls, or the platform takes none now; `rejected`: it will not take this one. */
+/** Outcome of a call: `later` means that the platform is rate-limited or temporarily unavailable, `rejected` that it will never accept this call. */
 export type DutyVerdict = 'accepted' | 'later' | 'rejected' | 'no-answer'
 
 export interface PlatformDuties {
-  /** Sends the counts of a window; an exact repeat does no harm. */
+  /** Reports the usage counts of a window. The call is idempotent: an identical repeat has no effect. */
   reportUsage (report: SealedWindow, holder: DutyHolder): Promise<DutyVerdict>
 }
