--- a/src/ports/common/protocols.ts
+++ b/src/ports/common/protocols.ts
@@ -1,6 +1,6 @@
 /**
- * What a deployment's wire protocol has to translate. Implementations hold no state, decide nothing
- * and neither send nor wait: they turn the product's types into messages and messages into types.
+ * Interfaces of a deployment's wire protocols. Implementations are stateless codecs: they convert
+ * between the product's types and wire messages, make no decisions, and perform no I/O.
  */
 
 import type { Incarnation, WorkspaceName } from '../../base/common/ids.ts'
@@ -13,74 +13,74 @@
 import type { KeyedPage, KeyedRecord, NewestPage } from './keyedLog.ts'
 import type { LoadReport, ModelVersion, TargetDefinition } from '../../core/common/routes/target.ts'
 
-/** A call to the store, ready to be sent. */
+/** An encoded request to the store. */
 export interface StoreCall {
   readonly method: 'GET' | 'POST'
   readonly path: string
   readonly body?: Uint8Array
 }
 
-/** Calls to a store of keyed topics, and their answers. */
+/** Encodes requests to keyed topics of the store and decodes the responses. */
 export interface KeyedLogProtocol {
   append (topic: string, records: readonly KeyedRecord[]): StoreCall
-  appended (status: number, body: Uint8Array): Result<number>
+  decodeAppended (status: number, body: Uint8Array): Result<number>
   read (topic: string, from: number, waitMs: number, kilobytes?: number): StoreCall
-  page (status: number, body: Uint8Array, from: number): Result<KeyedPage>
+  decodePage (status: number, body: Uint8Array, from: number): Result<KeyedPage>
   newest (topic: string, after: string | undefined): StoreCall
-  newestPage (status: number, body: Uint8Array): Result<NewestPage>
+  decodeNewestPage (status: number, body: Uint8Array): Result<NewestPage>
 }
 
-/** Part of a topic without keys; `forgotten` tells where the kept records begin. */
-export type HistoryPage =
+/** Part of a topic without keys; `forgotten` carries the offset of the first retained record. */
+export type UnkeyedPage =
   | { readonly type: 'entries', readonly texts: readonly string[], readonly end: number }
   | { readonly type: 'forgotten', readonly first: number }
 
-/** Calls to topics whose records have no keys and are kept for a limited time. */
-export interface HistoryProtocol {
+/** Encodes requests to topics whose records have no keys and are retained for a limited time, and decodes the responses. */
+export interface UnkeyedLogProtocol {
   append (topic: string, text: string): StoreCall
-  appended (status: number, body: Uint8Array): Result<number>
+  decodeAppended (status: number, body: Uint8Array): Result<number>
   trim (topic: string, before: number): StoreCall
-  trimmed (status: number): Result<void>
+  decodeTrimmed (status: number): Result<void>
   read (topic: string, from: number): StoreCall
-  page (status: number, body: Uint8Array): Result<HistoryPage>
+  decodePage (status: number, body: Uint8Array): Result<UnkeyedPage>
 }
 
-/** What an operator or trainer wrote. */
+/** A record written by an operator or a trainer. */
 export type OperatorRecord =
   | { readonly type: 'configuration', readonly configuration: RouteConfiguration }
   | { readonly type: 'named-version', readonly named: ModelVersion }
   | { readonly type: 'other' }
 
-/** Topics that others write, and what their records mean. */
+/** Decodes the topics that operators, trainers and targets write. */
 export interface RegistryProtocol {
   readonly operatorTopic: string
   readonly targetTopic: string
-  /** Reads a record of the operator's topic. */
+  /** Decodes a record of the operator topic. */
   operatorRecord (record: KeyedRecord): Result<OperatorRecord>
-  /** Id of the target that a record is about. */
+  /** Returns the id of the target that a record key belongs to. */
   targetId (key: string): string
-  /** Reads a target's entry. */
+  /** Decodes the registration of a target. */
   target (record: KeyedRecord): Result<TargetDefinition>
 }
 
-/** Headers as they come and go: names and values in turn. */
+/** Raw headers: names and values alternate. */
 export type HeaderPairs = readonly string[]
 
-/** A request that arrived at the callers' address. */
+/** A decoded request from a caller or trainer. */
 export type FrontRequest =
   | { readonly type: 'read-results', readonly step: string, readonly after: number, readonly waitMs: number }
   | { readonly type: 'read-body', readonly step: string, readonly item: string }
   | { readonly type: 'end-step', readonly step: string }
   | { readonly type: 'routed', readonly requestId: string | undefined, readonly deadlineMs: number | undefined, readonly resumeAfter: number | undefined }
 
-/** An answer of this host, ready to be sent. */
-export interface FrontAnswer {
+/** An encoded response of this host. */
+export interface FrontResponse {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly body: string
 }
 
-/** A question about the hosts themselves. */
+/** A request about the hosts themselves: readiness or addresses. */
 export type DirectoryRequest =
   | { readonly type: 'readiness' }
   | { readonly type: 'addresses', readonly place: string | undefined }
@@ -88,36 +88,36 @@
 export interface FrontProtocol {
   directoryRequest (method: string, path: string, query: URLSearchParams): DirectoryRequest | undefined
   request (method: string, path: string, query: URLSearchParams, headers: Readonly<Record<string, string | undefined>>): Result<FrontRequest>
-  /** Reads the key that a caller presents. */
+  /** Extracts the API key that a caller presents. */
   presentedKey (received: HeaderPairs): PresentedKey
-  /** Reads the body of a submitted step. */
+  /** Decodes the body of a step submission. */
   submission (stepId: string, body: string): Result<TrainerSubmission>
-  results (total: number, results: readonly SampleResult[], after: number): FrontAnswer
-  addresses (addresses: readonly string[], validForMs: number): FrontAnswer
-  /** Headers that a request failed by this host gets. */
+  results (total: number, results: readonly SampleResult[], after: number): FrontResponse
+  addresses (addresses: readonly string[], validForMs: number): FrontResponse
+  /** Returns the headers of an error response of this host. */
   failureHeaders (retryAfterMs: number | undefined): Record<string, string>
 }
 
-/** What is set on a request that goes to a target. */
-export interface OutgoingOptions {
+/** Values that this host sets in the headers of a request to a target. */
+export interface TargetRequestOptions {
   readonly expectedTarget: string
-  /** Milliseconds that the target may take; absent where the caller set no limit. */
+  /** Time that the target may take, in milliseconds; absent if the caller set no limit. */
   readonly remainingMs?: number
-  /** Number of the last event that is held already. */
+  /** Number of the last event already received, after which the stream resumes. */
   readonly resumeAfter?: number
 }
 
-/** Head of a target's answer. */
-export interface TargetAnswerHead {
+/** Decoded head of a target's response. */
+export interface TargetResponseHead {
   readonly status: number
-  /** Id of the request that the target says it answers. */
+  /** Id of the request that the target claims to respond to. */
   readonly requestId: string | undefined
-  /** Signature over the answer; without it an answer is not the target's. */
+  /** Signature over the response; a response without it did not come from the target. */
   readonly seal: string | undefined
-  /** True if the target says that it did not run the request. */
+  /** Whether the target states that it did not run the request. */
   readonly notRun: boolean
   readonly load: LoadReport | undefined
-  /** Version of the weights at the start of the answer. */
+  /** Weight version at the start of the response. */
   readonly version: number | undefined
 }
 
@@ -128,58 +128,57 @@
   readonly named: ModelVersion
   readonly mode: SwapMode
   readonly holder: string
-  /** Fencing number. */
+  /** Fencing token. */
   readonly term: number
-  /** Number of orders that the engine must have accepted so far. */
-  readonly ifSequence: number
+  /** Number of orders that the engine must have accepted so far; the engine refuses the order otherwise. */
+  readonly expectedSequence: number
 }
 
-/** `in-progress`: accepted now; `conflict`: another order is in progress, or the sequence differs. */
+/** Response of an engine to an order: `in-progress` means that it accepted the order, `conflict` that another order is in progress or the sequence differs. */
 export type OrderVerdict = 'in-progress' | 'holds' | 'conflict' | 'fenced' | 'wrong-target' | 'rejected'
 
 export interface EngineState {
-  /** The life of the engine that reports; absent where targets do not tell. */
+  /** Incarnation of the reporting engine; `undefined` if the target does not provide it. */
   readonly incarnation: Incarnation | undefined
   readonly models: readonly ModelVersion[]
-  /** True while an order is in progress. */
-  readonly ordering: boolean
+  readonly hasOrderInProgress: boolean
   /** Number of orders accepted since the engine started. */
   readonly sequence: number
   readonly running: number
   readonly waiting: number
 }
 
-/** An event of a stream, with the version if it changed there. */
+/** An event of a stream; `version` is set if the weight version changed at this event. */
 export interface StreamEvent {
   readonly id: number
   readonly data: string
   readonly version: number | undefined
 }
 
-/** A call to the platform's interface for duties, ready to be sent. */
+/** An encoded request to the platform's duty interface. */
 export interface DutyCall {
   readonly path: string
   readonly headers: HeaderPairs
   readonly body: string
 }
 
-/** Calls that one host at a time makes to the platform. */
+/** Encodes the requests of a duty holder to the platform and classifies the responses. */
 export interface DutyProtocol {
   usageReport (report: SealedWindow, holder: DutyHolder): DutyCall
   dutyVerdict (status: number): DutyVerdict
 }
 
 export interface TargetProtocol {
-  /** Headers of a caller's request as they go on to a target. */
-  forwardHeaders (received: HeaderPairs, options: OutgoingOptions, caller: CallerIdentity): string[]
-  /** Headers of an item's run. */
-  itemHeaders (host: string, item: string, payload: ItemPayload, options: OutgoingOptions, workspace: WorkspaceName | undefined): string[]
-  /** Headers of a call to a scorer. */
-  scorerHeaders (host: string, requestId: string, options: OutgoingOptions): string[]
-  answerHead (status: number, headers: Readonly<Record<string, string | string[] | undefined>>): TargetAnswerHead
-  /** Headers of a target's answer as they go on to the caller. */
-  answerHeaders (headers: Readonly<Record<string, string | string[] | undefined>>): Record<string, string | string[]>
-  /** Reads one event's fields, names in lower case. */
+  /** Returns the headers with which a caller's request is forwarded to a target. */
+  forwardHeaders (received: HeaderPairs, options: TargetRequestOptions, caller: CallerIdentity): string[]
+  /** Returns the headers of the request that runs an item. */
+  itemHeaders (host: string, item: string, payload: ItemPayload, options: TargetRequestOptions, workspace: WorkspaceName | undefined): string[]
+  /** Returns the headers of a request to a scorer. */
+  scorerHeaders (host: string, requestId: string, options: TargetRequestOptions): string[]
+  responseHead (status: number, headers: Readonly<Record<string, string | string[] | undefined>>): TargetResponseHead
+  /** Returns the headers of a target's response that are forwarded to the caller. */
+  responseHeaders (headers: Readonly<Record<string, string | string[] | undefined>>): Record<string, string | string[]>
+  /** Decodes an event from its fields, whose names are in lower case. */
   event (fields: ReadonlyMap<string, string>): StreamEvent | undefined
   order (order: EngineOrderMessage): { readonly path: string, readonly body: string, readonly headers: (target: string) => string[] }
   orderVerdict (status: number): OrderVerdict
--- a/src/ports/common/targetClient.ts
+++ b/src/ports/common/targetClient.ts
@@ -1,7 +1,7 @@
 /**
- * Port for sending requests to targets as they are: method, path, headers and body go on unchanged.
- * A failure says whether the target can have run anything: `targetUnreachable` (no byte left) is
- * not run, `unknownOutcome` is everything else.
+ * Port for sending requests to targets with method, path, headers and body unchanged. A failure states
+ * whether the target can have run the request: `targetUnreachable` means that no byte was sent and it did
+ * not run; all other failures are `unknownOutcome`.
  */
 
 import type { Result } from '../../base/common/resultCode.ts'
@@ -15,47 +15,47 @@
   readonly headers: HeaderPairs
   readonly body: Uint8Array | undefined
   /**
-   * True for a request that goes over a new connection of its own: one that must not run twice, so that
-   * a failure to connect is told apart from a failure to answer, and one that is sent once more because a
-   * kept connection may be silent.
+   * Whether the request uses a new dedicated connection. This is the case for a request that must not run
+   * twice, so that a failure to connect can be told apart from a failure to respond, and for a hedge, which
+   * is sent because a reused connection may have stopped delivering data.
    */
   readonly ownConnection: boolean
-  /** Ends the request at the target when it is aborted. */
+  /** Aborting the signal cancels the request. */
   readonly signal: AbortSignal
 }
 
 export type ReceivedHeaders = Readonly<Record<string, string | string[] | undefined>>
 
-/** A whole answer; one that ended early is a failure. */
-export interface TargetAnswer {
+/** A complete response; one that ends early is a failure. */
+export interface TargetResponse {
   readonly status: number
   readonly headers: ReceivedHeaders
   readonly body: Uint8Array
 }
 
-/** An answer whose body is still coming. */
+/** A response whose body is still being received. */
 export interface TargetStream {
   readonly status: number
   readonly headers: ReceivedHeaders
-  /** Ends after the whole body; throws if the connection breaks before. */
+  /** Ends after the complete body; throws if the connection breaks before. */
   readonly pieces: AsyncIterable<Uint8Array>
-  /** Ends the request at the target. */
+  /** Cancels the request. */
   cancel (): void
 }
 
-/** Whether a process takes connections at an address: `no` if it refused one, `unknown` if nothing answered in time. */
+/** Whether a process accepts connections at an address: `no` if the connection was refused, `unknown` if there was no response in time. */
 export type Listening = 'yes' | 'no' | 'unknown'
 
 export interface TargetClient {
-  /** Sends a request and reads its whole answer. */
-  exchange (request: TargetRequest): Promise<Result<TargetAnswer>>
-  /** Sends a request and gives its answer once the head has come. */
+  /** Sends a request and reads the complete response. */
+  exchange (request: TargetRequest): Promise<Result<TargetResponse>>
+  /** Sends a request and returns the response once its head has arrived. */
   open (request: TargetRequest): Promise<Result<TargetStream>>
   /**
-   * Gives up the kept connections to an address, since one of them went silent; those of a pool that
-   * is younger than `youngMs` stay.
+   * Retires the pooled connections to an address after one of them timed out, unless the pool is
+   * younger than `minAgeMs`.
    */
-  distrust (address: string, youngMs?: number): void
-  /** Opens a connection to an address, sends nothing and closes it. */
+  retireConnections (address: string, minAgeMs?: number): void
+  /** Checks whether a process listens at an address by opening a connection and closing it without sending data. */
   listens (address: string): Promise<Listening>
 }
--- a/src/ports/common/history.ts
+++ b/src/ports/common/unkeyedLog.ts
@@ -1,12 +1,12 @@
-/** Port to a topic whose records are kept for a limited time and have no keys. */
+/** Port to a topic whose records have no keys and are retained for a limited time. */
 
 import type { Result } from '../../base/common/resultCode.ts'
 
-export interface History {
-  /** Appends a record and gives its offset. */
+export interface UnkeyedLog {
+  /** Appends a record and returns its offset. */
   append (text: string): Promise<Result<number>>
   /** Removes the records before an offset. */
   trim (before: number): Promise<Result<void>>
-  /** Reads all records that are still kept, in their order. */
+  /** Reads all retained records in order. */
   readAll (): Promise<Result<readonly string[]>>
 }
--- a/standins/httpStandIn.ts
+++ b/standins/httpStandIn.ts
@@ -1,4 +1,4 @@
-/** What the stand-ins share: a small HTTP server with JSON bodies and injected faults. */
+/** HTTP server that all stand-ins are built on. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createServer } from 'node:http'
@@ -14,7 +14,7 @@
   readonly response: ServerResponse
 }
 
-/** Answers a request; what it does not answer stays open. */
+/** Handles a request. A request that the handler does not answer stays open. */
 export type StandInHandler = (request: StandInRequest) => void | Promise<void>
 
 export interface StandIn {
@@ -22,10 +22,10 @@
   close (): Promise<void>
 }
 
-/** Starts a server on loopback; port 0 takes a free one. */
+/** Starts a server on the loopback interface. Port 0 selects a free port. */
 export async function startStandIn (handler: StandInHandler, port = 0): Promise<StandIn> {
   const server = createServer((request, response) => {
-    read(request).then(async (text) => {
+    readBody(request).then(async (text) => {
       const url = new URL(request.url ?? '/', 'http://standin')
       await handler({ method: request.method ?? '', path: url.pathname, query: url.searchParams, headers: request.headers, text, request, response })
     }).catch(() => { response.destroy() })
@@ -45,7 +45,7 @@
   })
 }
 
-async function read (request: IncomingMessage): Promise<string> {
+async function readBody (request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = []
   for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk)
   return Buffer.concat(chunks).toString('utf8')
--- a/standins/log.ts
+++ b/standins/log.ts
@@ -1,31 +1,32 @@
 /**
- * Stand-in of the platform's log: streams of entries with offsets, long poll, limited retention, a
- * limit of appends a second, and outages. Faults are set over `POST /control`.
+ * Stand-in for the platform's log: streams of entries with offsets, long polling, limited retention,
+ * an append rate limit, and outages. Faults are set with `POST /control`.
  */
 
 import type { StandIn, StandInRequest } from './httpStandIn.ts'
 import { pause, sendJson, startStandIn } from './httpStandIn.ts'
 
 export interface LogFaults {
-  /** Answers everything with 503. */
+  /** Answers every request with 503. */
   down?: boolean
-  /** Answers nothing at all. */
+  /** Leaves every request unanswered. */
   silent?: boolean
-  /** So many appends take effect and their answers are lost. */
+  /** Number of appends that take effect but whose response is lost. */
   loseAnswers?: number
-  /** Delay of every answer, in milliseconds. */
+  /** Delay before a request is processed, in milliseconds. */
   delayMs?: number
   /** Delay before an append takes effect, in milliseconds. */
   appendDelayMs?: number
-  /** Entries kept per stream. */
+  /** Maximum number of entries kept per stream. */
   retainEntries?: number
-  /** Milliseconds an entry is kept. */
+  /** Retention period of an entry, in milliseconds. */
   retainMs?: number
-  /** Appends a second; more are answered with 429. */
+  /** Maximum number of appends per second. Further appends are answered with 429. */
   appendsPerSecond?: number
 }
 
 interface Stream {
+  /** Offset of the oldest entry that is kept. */
   first: number
   readonly entries: { readonly data: string, readonly at: number }[]
   readonly waiting: Set<() => void>
@@ -35,8 +36,8 @@
   readonly faults: LogFaults = {}
   appends = 0
   private readonly streams = new Map<string, Stream>()
-  private windowStart = 0
-  private windowCount = 0
+  private windowStartedAt = 0
+  private appendsInWindow = 0
 
   stream (name: string): Stream {
     const existing = this.streams.get(name)
@@ -46,7 +47,7 @@
     return created
   }
 
-  /** All entries that are kept of a stream. */
+  /** Returns all retained entries of a stream. */
   entries (name: string): string[] {
     return this.stream(name).entries.map(({ data }) => data)
   }
@@ -56,19 +57,19 @@
     stream.entries.push({ data, at: Date.now() })
     this.appends++
     const offset = stream.first + stream.entries.length - 1
-    this.forget(stream)
+    this.applyRetention(stream)
     for (const wake of [...stream.waiting]) wake()
     return offset
   }
 
-  /** Drops what retention no longer keeps. */
-  forget (stream: Stream): void {
+  /** Drops the entries that exceed the retention limits. */
+  applyRetention (stream: Stream): void {
     const { retainEntries, retainMs } = this.faults
     const excess = retainEntries === undefined ? 0 : stream.entries.length - retainEntries
-    const old = retainMs === undefined ? 0 : stream.entries.findIndex(({ at }) => at >= Date.now() - retainMs)
-    const drop = Math.max(0, excess, old === -1 ? stream.entries.length : old)
-    stream.entries.splice(0, drop)
-    stream.first += drop
+    const expired = retainMs === undefined ? 0 : stream.entries.findIndex(({ at }) => at >= Date.now() - retainMs)
+    const dropCount = Math.max(0, excess, expired === -1 ? stream.entries.length : expired)
+    stream.entries.splice(0, dropCount)
+    stream.first += dropCount
   }
 
   async handle ({ method, path, query, text, response }: StandInRequest): Promise<void> {
@@ -85,9 +86,9 @@
     if (method === 'POST') return await this.answerAppend(name, text, response)
     const stream = this.stream(name)
     const from = Number(query.get('from'))
-    if (stream.first + stream.entries.length <= from) await this.wait(stream, Number(query.get('wait_ms')), response)
+    if (stream.first + stream.entries.length <= from) await this.waitForEntries(stream, Number(query.get('wait_ms')), response)
     if (this.faults.down === true) return sendJson(response, 503, { error: 'down' })
-    this.forget(stream)
+    this.applyRetention(stream)
     const start = Math.max(0, from - stream.first)
     const entries = stream.entries.slice(start, start + Number(query.get('max'))).map(({ data }, index) => ({ offset: stream.first + start + index, data }))
     sendJson(response, 200, { first: stream.first, end: stream.first + stream.entries.length, entries })
@@ -95,7 +96,7 @@
 
   private async answerAppend (name: string, text: string, response: StandInRequest['response']): Promise<void> {
     const { faults } = this
-    if (this.limited()) return sendJson(response, 429, { error: 'limit' })
+    if (this.exceedsAppendLimit()) return sendJson(response, 429, { error: 'limit' })
     if (faults.appendDelayMs !== undefined) await pause(faults.appendDelayMs)
     const offset = this.append(name, text)
     if ((faults.loseAnswers ?? 0) > 0) {
@@ -106,33 +107,33 @@
     sendJson(response, 201, { offset })
   }
 
-  private limited (): boolean {
+  private exceedsAppendLimit (): boolean {
     const limit = this.faults.appendsPerSecond
     if (limit === undefined) return false
     const now = Date.now()
-    if (now - this.windowStart >= 1000) {
-      this.windowStart = now
-      this.windowCount = 0
+    if (now - this.windowStartedAt >= 1000) {
+      this.windowStartedAt = now
+      this.appendsInWindow = 0
     }
-    return ++this.windowCount > limit
+    return ++this.appendsInWindow > limit
   }
 
-  private async wait (stream: Stream, milliseconds: number, response: StandInRequest['response']): Promise<void> {
+  private async waitForEntries (stream: Stream, milliseconds: number, response: StandInRequest['response']): Promise<void> {
     if (!(milliseconds > 0)) return
     await new Promise<void>((resolve) => {
-      const done = (): void => {
+      const finish = (): void => {
         clearTimeout(timer)
-        stream.waiting.delete(done)
+        stream.waiting.delete(finish)
         resolve()
       }
-      const timer = setTimeout(done, milliseconds)
-      stream.waiting.add(done)
-      response.once('close', done)
+      const timer = setTimeout(finish, milliseconds)
+      stream.waiting.add(finish)
+      response.once('close', finish)
     })
   }
 }
 
-/** Starts a log stand-in. */
+/** Starts an HTTP server for a log stand-in. */
 export async function startLog (port = 0): Promise<StandIn & { readonly log: LogStandIn }> {
   const log = new LogStandIn()
   const server = await startStandIn(async (request) => { await log.handle(request) }, port)
--- a/standins/main.ts
+++ b/standins/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process: `standins KIND PORT [OPTIONS as JSON]`. Prints its address. */
+/** Runs one stand-in as a process and prints its address. Usage: `standins KIND PORT [OPTIONS as JSON]`. */
 
 import type { EngineOptions } from './engine.ts'
 import { startEngine } from './engine.ts'
@@ -14,7 +14,7 @@
     case 'scorer': return await startScorer(Number(options.delayMs ?? 5), port)
     case 'weight-store': return await startWeightStore(Number(options.perSecond ?? 4), port)
     case 'host-list': return await startHostList(Number(options.lagMs ?? 1000), port)
-    default: throw new Error(`no stand-in is called ${kind}`)
+    default: throw new Error(`unknown kind of stand-in: ${kind}`)
   }
 }
 
--- a/standins/service.ts
+++ b/standins/service.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of the plain services: one with status queries and entries that must not be doubled,
- * a scorer, the weight store with its rate limit, and the lagging list of hosts.
+ * Stand-ins for the plain services: a service with status queries and entries that must not be
+ * duplicated, a scorer, the weight store with its rate limit, and the list of hosts, which lags.
  */
 
 import type { ListedHost } from '../src/ports/common/targets.ts'
@@ -8,20 +8,20 @@
 import { pause, sendJson, startStandIn } from './httpStandIn.ts'
 
 export interface ServiceFaults {
-  /** Runs the call and loses the answer, so many times. */
+  /** Number of calls that are executed but whose response is lost. */
   loseAnswers?: number
-  /** Refuses before running. */
+  /** Refuses calls before executing them. */
   refuse?: boolean
-  /** Answers nothing. */
+  /** Leaves every call unanswered. */
   silent?: boolean
-  /** Milliseconds that a call takes. */
+  /** Duration of a call, in milliseconds. */
   delayMs?: number
-  /** Marks itself as leaving in its load report. */
+  /** Reports in the load report that the service is leaving. */
   leaving?: boolean
 }
 
-/** A call that the service ran. */
-export interface RanCall {
+/** A call that the service executed. */
+export interface ExecutedCall {
   readonly id: string
   readonly method: string
   readonly path: string
@@ -30,8 +30,8 @@
 
 export class ServiceStandIn {
   readonly faults: ServiceFaults = {}
-  /** The service's own record of what it ran. */
-  readonly ran: RanCall[] = []
+  /** All calls that the service executed, as ground truth for the tests. */
+  readonly ran: ExecutedCall[] = []
   private running = 0
 
   async handle (call: StandInRequest): Promise<void> {
@@ -65,7 +65,7 @@
   return { ...server, service }
 }
 
-/** Scores a sample by its length. */
+/** Starts a scorer that scores a sample by its length. */
 export async function startScorer (delayMs = 5, port = 0): Promise<StandIn> {
   return await startStandIn(async ({ text, response }) => {
     const sample = JSON.parse(text) as { text: string }
@@ -74,28 +74,28 @@
   }, port)
 }
 
-/** Serves so many weight downloads a second. */
+/** Starts a weight store that serves at most `perSecond` downloads per second and answers further ones with 429. */
 export async function startWeightStore (perSecond: number, port = 0): Promise<StandIn> {
-  let windowStart = 0
-  let served = 0
+  let windowStartedAt = 0
+  let servedInWindow = 0
   return await startStandIn(({ response }) => {
-    if (Date.now() - windowStart >= 1000) {
-      windowStart = Date.now()
-      served = 0
+    if (Date.now() - windowStartedAt >= 1000) {
+      windowStartedAt = Date.now()
+      servedInWindow = 0
     }
-    if (++served > perSecond) sendJson(response, 429, { error: 'limit' })
+    if (++servedInWindow > perSecond) sendJson(response, 429, { error: 'limit' })
     else sendJson(response, 200, { weights: 'bytes' })
   }, port)
 }
 
-/** Tells what was set so long ago. */
+/** Starts a list of hosts that returns the hosts that were set at least `lagMs` ago. */
 export async function startHostList (lagMs: number, port = 0): Promise<StandIn & { set (hosts: ListedHost[]): void }> {
   const history: { at: number, hosts: ListedHost[] }[] = [{ at: 0, hosts: [] }]
   const set = (hosts: ListedHost[]): void => { history.push({ at: Date.now(), hosts }) }
   const server = await startStandIn(({ path, text, response }) => {
     if (path === '/control') set(JSON.parse(text) as ListedHost[])
-    const seen = history.findLast(({ at }) => at <= Date.now() - lagMs)
-    sendJson(response, 200, { hosts: seen?.hosts ?? [] })
+    const reported = history.findLast(({ at }) => at <= Date.now() - lagMs)
+    sendJson(response, 200, { hosts: reported?.hosts ?? [] })
   }, port)
   return { ...server, set }
 }
--- a/test/actors/duties/claimContention.test.ts
+++ b/test/actors/duties/claimContention.test.ts
@@ -8,8 +8,8 @@
 import { CANDIDATE_COUNT, isCandidate } from '../../../src/core/common/duties/dutyOrder.ts'
 import { followPauseMs } from '../../../src/core/common/steps/followPause.ts'
 import type { KeyedLog } from '../../../src/ports/common/keyedLog.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
 const STORE_LATENCY_MS = 4
@@ -38,14 +38,14 @@
   }
 
   /** One generator for all hosts, as generators with adjacent seeds start with similar values. */
-  private readonly chance = seededChance(17)
+  private readonly chance = newSeededChance(17)
 
   private add (rank: number, standing: HostRanking): void {
     const { clock } = this
     const log = this.createLog(rank)
     const pauseMs = (): number => isCandidate(standing) ? USUAL_PAUSE_MS : followPauseMs(standing.hosts, USUAL_PAUSE_MS)
-    const topic = new StepTopic({ log, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: () => toDisposable(() => undefined) }, { name: 't', longPollMs: 1000, pauseMs })
-    const lease = new DutyLeaseManager({ source: topic, log, clock, chance: this.chance, stateLog: quietLog, doubt: () => { this.doubts++ }, isLost: () => false, candidacy: () => standing }, { duty: 'd', machine: `m${rank}`, holder: `m${rank}/1`, renewIntervalMs: 250, probeAfterMs: 600, leaseDurationMs: 1200, takeoverDelayMs: 3200 })
+    const topic = new StepTopic({ log, clock, metrics: noopMetrics, stateLog: noopStateLog, onRegained: () => toDisposable(() => undefined) }, { name: 't', longPollMs: 1000, pauseMs })
+    const lease = new DutyLeaseManager({ source: topic, log, clock, chance: this.chance, stateLog: noopStateLog, doubt: () => { this.doubts++ }, isLost: () => false, candidacy: () => standing }, { duty: 'd', machine: `m${rank}`, holder: `m${rank}/1`, renewIntervalMs: 250, probeAfterMs: 600, leaseDurationMs: 1200, takeoverDelayMs: 3200 })
     lease.onClaim(() => { this.claims++ })
     this.topics.push(topic)
     this.leases.push(lease)
--- a/test/actors/duties/dutyLeaseManager.test.ts
+++ b/test/actors/duties/dutyLeaseManager.test.ts
@@ -3,8 +3,8 @@
 import { expect } from 'chai'
 import { DutyLeaseManager } from '../../../src/actors/common/duties/dutyLeaseManager.ts'
 import { StepTopic } from '../../../src/actors/common/store/stepTopic.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 import { toDisposable } from '../../../src/base/common/lifecycle.ts'
 import { failure } from '../../../src/base/common/resultCode.ts'
@@ -34,8 +34,8 @@
         return this.cut ? failure('logUnavailable', 'cut') : await log.read(from)
       }
     }
-    this.topic = new StepTopic({ log: hostLog, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: () => toDisposable(() => undefined) }, { name: 't', longPollMs: 1000, pauseMs: () => 0 })
-    this.lease = new DutyLeaseManager({ source: this.topic, log: hostLog, clock, chance: seededChance(seed), stateLog: quietLog, doubt: () => undefined, isLost: (holder) => lost.has(holder), candidacy: () => this.standing }, { ...settings, machine: name, holder: `${name}/${life}` })
+    this.topic = new StepTopic({ log: hostLog, clock, metrics: noopMetrics, stateLog: noopStateLog, onRegained: () => toDisposable(() => undefined) }, { name: 't', longPollMs: 1000, pauseMs: () => 0 })
+    this.lease = new DutyLeaseManager({ source: this.topic, log: hostLog, clock, chance: newSeededChance(seed), stateLog: noopStateLog, doubt: () => undefined, isLost: (holder) => lost.has(holder), candidacy: () => this.standing }, { ...settings, machine: name, holder: `${name}/${life}` })
     this.topic.start()
   }
 
--- a/test/actors/identity/callerAuthenticator.test.ts
+++ b/test/actors/identity/callerAuthenticator.test.ts
@@ -5,7 +5,7 @@
 import type { PresentedKey } from '../../../src/core/common/identity/workspaces.ts'
 import { RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import type { Instant } from '../../../src/base/common/instant.ts'
-import { nowOf } from '../../../src/ports/common/clock.ts'
+import { currentInstant } from '../../../src/ports/common/clock.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 
 const key: PresentedKey = { type: 'key', digest: asKeyDigest('valid') }
@@ -27,12 +27,12 @@
   reads = 0
 
   constructor (private readonly clock: ManualClock) {
-    this.readAt = nowOf(clock)
+    this.readAt = currentInstant(clock)
   }
 
   async catchUp (): Promise<boolean> {
     this.reads++
-    const sent = nowOf(this.clock)
+    const sent = currentInstant(this.clock)
     const held = this.stored
     await new Promise<void>((resolve) => { this.clock.after(this.answerMs, resolve) })
     if (this.isLost) return false
--- a/test/actors/membership/manyHosts.test.ts
+++ b/test/actors/membership/manyHosts.test.ts
@@ -4,14 +4,14 @@
 import { start } from 'nact'
 import { Membership } from '../../../src/actors/common/membership/membership.ts'
 import { createHash } from '../../../src/adapters/node/xxHash.ts'
-import { asHostId, asPlace } from '../../../src/base/common/ids.ts'
+import { asHostId, asFailureDomain } from '../../../src/base/common/ids.ts'
 import type { Result } from '../../../src/base/common/resultCode.ts'
 import { failure, success } from '../../../src/base/common/resultCode.ts'
 import { MEMBERSHIP_CONVERGENCE_MS } from '../../../src/core/common/duties/dutyOrder.ts'
 import type { Hash } from '../../../src/ports/common/hash.ts'
 import type { PeerHandlers, Peers } from '../../../src/ports/common/peers.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 
 /** Time for which a leaving host still serves requests, less the time for which callers keep an address, in milliseconds. */
 const ANNOUNCEMENT_DEADLINE_MS = 5500 - 2000
@@ -20,7 +20,7 @@
   readonly hosts: Membership[] = []
   callCount = 0
   private readonly handlers = new Map<string, (parameters: never) => Promise<unknown>>()
-  private readonly chance = seededChance(5)
+  private readonly chance = newSeededChance(5)
 
   constructor (private readonly clock: ManualClock, private readonly hash: Hash, count: number) {
     for (let index = 0; index < count; index++) this.add(index)
@@ -45,9 +45,9 @@
       }
     } as Peers
     const handlers: PeerHandlers = { handle: (method, handler) => { this.handlers.set(`${address} ${method}`, handler as never) } }
-    this.hosts.push(new Membership({ system: start(), peers, handlers, clock: this.clock, chance: this.chance, hash: this.hash, metrics: quietMetrics, stateLog: quietLog }, {
+    this.hosts.push(new Membership({ system: start(), peers, handlers, clock: this.clock, chance: this.chance, hash: this.hash, metrics: noopMetrics, stateLog: noopStateLog }, {
       seeds: ['http://h0', 'http://h1', 'http://h2'].filter((seed) => seed !== address), probePeriodMs: 500, probeTimeoutMs: 250, indirect: 2, suspicionMs: 1500, forgetMs: 600_000, fullExchangeIntervalMs: 10_000
-    }, { host: asHostId(`h${index}/a`), address, place: asPlace(`p${index % 5}`) }))
+    }, { host: asHostId(`h${index}/a`), address, place: asFailureDomain(`p${index % 5}`) }))
   }
 }
 
--- a/test/actors/membership/membership.test.ts
+++ b/test/actors/membership/membership.test.ts
@@ -3,14 +3,14 @@
 import { expect } from 'chai'
 import { start } from 'nact'
 import { Membership } from '../../../src/actors/common/membership/membership.ts'
-import { asHostId, asPlace } from '../../../src/base/common/ids.ts'
+import { asHostId, asFailureDomain } from '../../../src/base/common/ids.ts'
 import type { MemberStatus, MemberUpdate } from '../../../src/core/common/membership/memberTable.ts'
 import type { PeerHandlers, Peers, ProbeMessage } from '../../../src/ports/common/peers.ts'
-import { quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { RecordedLog } from '../../support/recordedLog.ts'
 
-const update = (name: string, status: MemberStatus = 'alive', incarnation = 1): MemberUpdate => ({ host: asHostId(name), address: `http://${name}`, place: asPlace('p'), status, incarnation })
+const update = (name: string, status: MemberStatus = 'alive', incarnation = 1): MemberUpdate => ({ host: asHostId(name), address: `http://${name}`, place: asFailureDomain('p'), status, incarnation })
 
 /** Peers that neither answer nor refuse a probe, so that updates only arrive with received probes. */
 const unansweringPeers: Peers = { call: async () => await new Promise(() => undefined) }
@@ -27,7 +27,7 @@
     const answers = new Map<string, (message: ProbeMessage) => Promise<unknown>>()
     const handlers: PeerHandlers = { handle: (method, handler) => { answers.set(method, handler as never) } }
     const hash = { digest: (text: string) => text, number: () => 0 }
-    membership = new Membership({ system: start(), peers: unansweringPeers, handlers, clock, chance: seededChance(1), hash, metrics: quietMetrics, stateLog: log }, {
+    membership = new Membership({ system: start(), peers: unansweringPeers, handlers, clock, chance: newSeededChance(1), hash, metrics: noopMetrics, stateLog: log }, {
       seeds: [], probePeriodMs: 10_000, probeTimeoutMs: 100, indirect: 0, suspicionMs: 60_000, forgetMs: 600_000, fullExchangeIntervalMs: 1000
     }, update('self'))
     receiveUpdates = async (updates) => {
@@ -55,7 +55,7 @@
     await clock.advance(2000)
     await receiveUpdates([update('a'), update('b', 'dead')])
     await clock.advance(2000)
-    expect(log.of('host status')).to.deep.equal([{ member: 'c', status: 'alive', was: 'unknown' }, { member: 'b', status: 'dead', was: 'alive' }])
+    expect(log.detailsOf('host status')).to.deep.equal([{ member: 'c', status: 'alive', was: 'unknown' }, { member: 'b', status: 'dead', was: 'alive' }])
   })
 
   it('contain the latest status of a host that changed while lines were being combined', async () => {
--- a/test/actors/requests/jointModel.test.ts
+++ b/test/actors/requests/jointModel.test.ts
@@ -125,7 +125,7 @@
   /** Checks, after all faults are over, that no request reported as not run was run, and that the hosts agree. */
   async checkFinalInvariants (): Promise<void> {
     this.log.down = false
-    for (const host of this.hosts) host.wake()
+    for (const host of this.hosts) host.resume()
     await this.clock.advance(6000)
     this.checkInvariants()
     for (const [id, answers] of this.outcomesByRequest) {
@@ -166,7 +166,7 @@
     case 'pull': world.pull(item.host, item.lost); break
     case 'publish': world.publish(item.host); break
     case 'freeze': world.host(item.host).freeze(); break
-    case 'wake': world.host(item.host).wake(); break
+    case 'wake': world.host(item.host).resume(); break
     case 'outage': world.log.down = item.down; break
     case 'lose': if (item.what === 'log') world.log.loseAnswers = 1; else world.service.loseAnswers = 1; break
     case 'pass': await world.clock.advance(item.ms); break
--- a/test/actors/routes/crashRecordCleaner.test.ts
+++ b/test/actors/routes/crashRecordCleaner.test.ts
@@ -5,13 +5,13 @@
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
 import { GroupAppender } from '../../../src/actors/common/store/groupAppender.ts'
 import type { RequestContent } from '../../../src/ports/common/fingerprints.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { targetDefinition } from '../../support/routes.ts'
+import { newTargetDefinition } from '../../support/routes.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import type { Guards } from '../../support/targetEnds.ts'
-import { guards } from '../../support/targetEnds.ts'
+import type { CrashGuards } from '../../support/targetEnds.ts'
+import { newCrashGuards } from '../../support/targetEnds.ts'
 
 const content: RequestContent = { host: 'h', method: 'POST', path: '/a/', caller: undefined, body: 'fatal' }
 /** Retention period of a mark, and interval between cleanup runs. */
@@ -22,18 +22,18 @@
   readonly clock = new ManualClock()
   readonly log = new MemoryKeyedLog()
   readonly duty = { holds: true }
-  readonly guards: Guards
+  readonly guards: CrashGuards
   readonly cleaner: CrashRecordCleaner
 
   constructor () {
-    const table = new TargetTable({ clock: this.clock, stateLog: quietLog })
+    const table = new TargetTable({ clock: this.clock, stateLog: noopStateLog })
     const client = new ScriptedClient(this.clock, {})
-    this.guards = guards(table, client, this.clock, { log: this.log })
-    const appender = new GroupAppender({ log: this.log, clock: this.clock, chance: seededChance(9), metrics: quietMetrics }, { maxCallCharacters: 100_000 })
-    this.cleaner = new CrashRecordCleaner({ held: this.guards.held, appender, duty: this.duty, clock: this.clock, stateLog: quietLog })
+    this.guards = newCrashGuards(table, client, this.clock, { log: this.log })
+    const appender = new GroupAppender({ log: this.log, clock: this.clock, chance: newSeededChance(9), metrics: noopMetrics }, { maxCallCharacters: 100_000 })
+    this.cleaner = new CrashRecordCleaner({ held: this.guards.held, appender, duty: this.duty, clock: this.clock, stateLog: noopStateLog })
     for (const id of ['1', '2']) {
-      table.set(targetDefinition({ id, address: id }))
-      client.gone.add(id)
+      table.set(newTargetDefinition({ id, address: id }))
+      client.closedAddresses.add(id)
       const target = table.get(id)
       if (target !== undefined) this.guards.ends.track(target, content, id).connectionBroke().catch(() => undefined)
     }
--- a/test/actors/routes/requestQuarantine.test.ts
+++ b/test/actors/routes/requestQuarantine.test.ts
@@ -11,14 +11,14 @@
 import { allMechanisms } from '../../../src/core/common/mechanisms.ts'
 import type { Route } from '../../../src/core/common/routes/routeConfiguration.ts'
 import type { RequestContent } from '../../../src/ports/common/fingerprints.ts'
-import type { Listening, TargetAnswer, TargetClient, TargetRequest, TargetStream } from '../../../src/ports/common/targetClient.ts'
+import type { Listening, TargetResponse, TargetClient, TargetRequest, TargetStream } from '../../../src/ports/common/targetClient.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
-import type { Guards } from '../../support/targetEnds.ts'
-import { guards } from '../../support/targetEnds.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
+import type { CrashGuards } from '../../support/targetEnds.ts'
+import { newCrashGuards } from '../../support/targetEnds.ts'
 
 /** Longest time for which a caller of a stream may read nothing. */
 const CALLER_PAUSE_MS = 10_000
@@ -74,7 +74,7 @@
 
   addTable (table: TargetTable): void {
     this.tables.push(table)
-    for (const [address, { id }] of this.processes) table.set(targetDefinition({ id, address }))
+    for (const [address, { id }] of this.processes) table.set(newTargetDefinition({ id, address }))
   }
 
   /** Ends the process at an address, for any reason. */
@@ -97,7 +97,7 @@
     this.processes.set(address, { ...targetProcess, running: 0, end: new AbortController() })
   }
 
-  async exchange (request: TargetRequest): Promise<Result<TargetAnswer>> {
+  async exchange (request: TargetRequest): Promise<Result<TargetResponse>> {
     const body = new TextDecoder().decode(request.body)
     const id = request.headers[request.headers.indexOf(REQUEST_ID) + 1] ?? ''
     const targetProcess = this.processes.get(request.address)
@@ -132,29 +132,29 @@
     return this.processes.get(address)?.alive === true ? 'yes' : 'no'
   }
 
-  distrust (): void {}
+  retireConnections (): void {}
 
   private start (address: string): void {
     const targetProcess: TargetProcess = { id: `t${this.started++}`, alive: true, running: 0, end: new AbortController() }
     this.processes.set(address, targetProcess)
-    for (const table of this.tables) table.set(targetDefinition({ id: targetProcess.id, address }))
+    for (const table of this.tables) table.set(newTargetDefinition({ id: targetProcess.id, address }))
   }
 }
 
 class Host {
   readonly table: TargetTable
-  readonly guards: Guards
+  readonly guards: CrashGuards
   private readonly calls: RouteCalls
   private readonly streams: StreamCalls
   lost = false
 
   constructor (private readonly fleet: Fleet, seed: number, private readonly route: Route) {
     const { clock, targets, log } = fleet
-    this.table = new TargetTable({ clock, stateLog: quietLog })
+    this.table = new TargetTable({ clock, stateLog: noopStateLog })
     targets.addTable(this.table)
-    this.guards = guards(this.table, targets, clock, { log, seed })
+    this.guards = newCrashGuards(this.table, targets, clock, { log, seed })
     this.guards.followed.reload()
-    const services = { targets: this.table, client: targets, ...this.guards, protocol: targetProtocol, clock, chance: seededChance(seed), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms }
+    const services = { targets: this.table, client: targets, ...this.guards, protocol: targetProtocol, clock, chance: newSeededChance(seed), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms }
     this.calls = new RouteCalls(services)
     this.streams = new StreamCalls(services, CALLER_PAUSE_MS)
     const reading = clock.every(fleet.readMs, () => { if (this.lost) reading.dispose(); else this.guards.followed.catchUp().catch(() => undefined) })
@@ -254,7 +254,7 @@
 
   private start (): void {
     const seed = this.seeds++
-    this.hosts.push(new Host(this, seed, route({ attempts: 3, objectiveMs: 150, ...this.details })))
+    this.hosts.push(new Host(this, seed, newRoute({ attempts: 3, objectiveMs: 150, ...this.details })))
   }
 }
 
@@ -341,10 +341,10 @@
 
   it('is sent like any other if the mechanism is disabled', async () => {
     const clock = new ManualClock()
-    const table = new TargetTable({ clock, stateLog: quietLog })
-    const { held, ends } = guards(table, new Targets(clock, 0), clock, { held: false })
+    const table = new TargetTable({ clock, stateLog: noopStateLog })
+    const { held, ends } = newCrashGuards(table, new Targets(clock, 0), clock, { held: false })
     for (const id of ['1', '2', '3']) {
-      table.set(targetDefinition({ id, address: id }))
+      table.set(newTargetDefinition({ id, address: id }))
       const target = table.get(id)
       if (target !== undefined) await ends.track(target, content, 'r').connectionBroke()
     }
@@ -361,7 +361,7 @@
   'targets are replaced one after another': ({ hosts, targets, clock }, second) => {
     const address = `a${second % 8}`
     const id = targets.processes.get(address)?.id ?? ''
-    for (const { table } of hosts) table.set(targetDefinition({ id, address, draining: true }))
+    for (const { table } of hosts) table.set(newTargetDefinition({ id, address, draining: true }))
     clock.after(800, () => { targets.crash(address) })
   }
 }
--- a/test/actors/routes/routeCalls.test.ts
+++ b/test/actors/routes/routeCalls.test.ts
@@ -10,12 +10,12 @@
 import { pause } from '../../../src/ports/common/clock.ts'
 import type { Route } from '../../../src/core/common/routes/routeConfiguration.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
 import type { ScriptedAnswer } from '../../support/scriptedClient.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { guards } from '../../support/targetEnds.ts'
+import { newCrashGuards } from '../../support/targetEnds.ts'
 
 const ownHeaders = { 'bulrushvalve-request-id': 'r', 'bulrushvalve-response-seal': 's' }
 const good = (afterMs = 20): ScriptedAnswer => ({ afterMs, headers: ownHeaders })
@@ -36,16 +36,16 @@
 
 function createFixture (targets: Readonly<Record<string, readonly ScriptedAnswer[]>>): Fixture {
   const clock = new ManualClock()
-  const table = new TargetTable({ clock, stateLog: quietLog })
-  for (const id of Object.keys(targets)) table.set(targetDefinition({ id, address: id }))
+  const table = new TargetTable({ clock, stateLog: noopStateLog })
+  for (const id of Object.keys(targets)) table.set(newTargetDefinition({ id, address: id }))
   return { clock, client: new ScriptedClient(clock, targets), table, gone: new AbortController() }
 }
 
 async function call ({ clock, client, table, gone }: Fixture, details: Partial<Route> = {}, { advanceMs = 3000, waitMs = 2000, background = false } = {}): Promise<{ result: Result<RoutedAnswer>, tookMs: number }> {
-  const calls = new RouteCalls({ targets: table, client, ...guards(table, client, clock), protocol: targetProtocol, clock, chance: seededChance(3), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms })
+  const calls = new RouteCalls({ targets: table, client, ...newCrashGuards(table, client, clock), protocol: targetProtocol, clock, chance: newSeededChance(3), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms })
   const began = clock.now
   let ended = Number.POSITIVE_INFINITY
-  const result = calls.call({ route: route(details), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs, configuration: 1, background, gone: gone.signal })
+  const result = calls.call({ route: newRoute(details), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs, configuration: 1, background, gone: gone.signal })
   result.then(() => { ended = clock.now }).catch(() => undefined)
   await clock.advance(advanceMs)
   return { result: await result, tookMs: ended - began }
@@ -186,9 +186,9 @@
 describe('background calls', () => {
   it('leave one slot of each target free for waiting callers', async () => {
     const { clock, client, table, gone } = createFixture({ a: [silent] })
-    const calls = new RouteCalls({ targets: table, client, ...guards(table, client, clock), protocol: targetProtocol, clock, chance: seededChance(3), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms })
-    for (let index = 0; calls.hasBackgroundCapacity(route()); index++) {
-      calls.call({ route: route(), requestId: `b${index}`, method: 'POST', path: '/', headers: () => [], body: undefined, waitMs: 1000, configuration: 1, background: true, gone: gone.signal }).catch(() => undefined)
+    const calls = new RouteCalls({ targets: table, client, ...newCrashGuards(table, client, clock), protocol: targetProtocol, clock, chance: newSeededChance(3), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms })
+    for (let index = 0; calls.hasBackgroundCapacity(newRoute()); index++) {
+      calls.call({ route: newRoute(), requestId: `b${index}`, method: 'POST', path: '/', headers: () => [], body: undefined, waitMs: 1000, configuration: 1, background: true, gone: gone.signal }).catch(() => undefined)
     }
     expect(client.sent).to.have.length(5)
     await clock.advance(2000)
@@ -204,11 +204,11 @@
 
   async function stream (targets: Readonly<Record<string, readonly ScriptedAnswer[]>>, details: Partial<Route> = {}, reads?: (clock: ManualClock) => Promise<void> | undefined): Promise<{ got: string, ended: string, failed: Failure | undefined, client: ScriptedClient, answerMs: number | undefined }> {
     const stage = createFixture(targets)
-    const calls = new StreamCalls({ targets: stage.table, client: stage.client, ...guards(stage.table, stage.client, stage.clock), protocol: targetProtocol, clock: stage.clock, chance: seededChance(3), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms }, CALLER_PAUSE_MS)
+    const calls = new StreamCalls({ targets: stage.table, client: stage.client, ...newCrashGuards(stage.table, stage.client, stage.clock), protocol: targetProtocol, clock: stage.clock, chance: newSeededChance(3), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms }, CALLER_PAUSE_MS)
     stage.table.get('b')?.recordAnswerTime(90)
     let got = ''
     let ended = ''
-    const done = calls.call({ route: route({ kind: 'streaming', resumable: true, attempts: 3, timeoutMs: 9000, ...details }), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 9000, configuration: 1, background: false, gone: stage.gone.signal, resumeAfter: undefined }, {
+    const done = calls.call({ route: newRoute({ kind: 'streaming', resumable: true, attempts: 3, timeoutMs: 9000, ...details }), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 9000, configuration: 1, background: false, gone: stage.gone.signal, resumeAfter: undefined }, {
       writeHead: () => { got += 'head ' },
       write: (piece) => {
         got += Buffer.from(piece).toString('latin1')
@@ -250,7 +250,7 @@
 
   it('resumes at another target after the last complete event, without partial events', async () => {
     const torn = [...events(0, 2) ?? [], { afterMs: 5, raw: 'id: 2\nda' }]
-    const { got, ended, client } = await stream({ a: [{ ...good(), events: torn, breaks: true }], b: [{ ...good(), events: events(2, 4) }] })
+    const { got, ended, client } = await stream({ a: [{ ...good(), events: torn, isBroken: true }], b: [{ ...good(), events: events(2, 4) }] })
     expect([got, ended]).to.deep.equal([`head ${whole}`, 'end'])
     expect(client.sent[1]?.headers).to.include.members(['last-event-id', '1'])
   })
@@ -262,7 +262,7 @@
   })
 
   it('is aborted if it must not be resumed', async () => {
-    const { ended, client } = await stream({ a: [{ ...good(), events: events(0, 2), breaks: true }], b: [{ ...good(), events: events(2, 4) }] }, { resumable: false })
+    const { ended, client } = await stream({ a: [{ ...good(), events: events(0, 2), isBroken: true }], b: [{ ...good(), events: events(2, 4) }] }, { resumable: false })
     expect(ended).to.equal('cut')
     expect(client.sent).to.have.length(1)
   })
--- a/test/actors/routes/targetCrashDetector.test.ts
+++ b/test/actors/routes/targetCrashDetector.test.ts
@@ -7,26 +7,26 @@
 import { sha256Fingerprints } from '../../../src/adapters/node/sha256Fingerprints.ts'
 import { asIncarnation } from '../../../src/base/common/ids.ts'
 import type { RequestContent } from '../../../src/ports/common/fingerprints.ts'
-import { quietLog } from '../../support/fakeHost.ts'
+import { noopStateLog } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { RecordedLog } from '../../support/recordedLog.ts'
-import { targetDefinition } from '../../support/routes.ts'
+import { newTargetDefinition } from '../../support/routes.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { watchEnds } from '../../support/targetEnds.ts'
+import { newTargetEnds } from '../../support/targetEnds.ts'
 
 const content = (body: string): RequestContent => ({ host: 'h', method: 'POST', path: '/a/', caller: undefined, body })
 const fingerprint = (body: string): string => sha256Fingerprints.of(content(body))
 
 class Fixture {
   readonly clock = new ManualClock()
-  readonly table = new TargetTable({ clock: this.clock, stateLog: quietLog })
+  readonly table = new TargetTable({ clock: this.clock, stateLog: noopStateLog })
   readonly client = new ScriptedClient(this.clock, {})
   readonly log = new RecordedLog()
-  readonly watch: TargetCrashDetector = watchEnds(this.table, this.client, this.clock, this.log)
+  readonly watch: TargetCrashDetector = newTargetEnds(this.table, this.client, this.clock, this.log)
   readonly ends: TargetCrash[] = []
 
   constructor () {
-    this.table.set(targetDefinition({ id: 't', incarnation: asIncarnation(1), address: 'a' }))
+    this.table.set(newTargetDefinition({ id: 't', incarnation: asIncarnation(1), address: 'a' }))
     this.watch.onCrash((end) => { this.ends.push(end) })
   }
 
@@ -43,10 +43,10 @@
     const broken = watch.track(target, content('broken'), 'r1')
     watch.track(target, content('under way'), 'r2')
     watch.track(target, content('answered'), 'r3').finish()
-    client.gone.add('a')
+    client.closedAddresses.add('a')
     expect(await broken.connectionBroke()).to.equal(true)
     expect(ends).to.deep.equal([{ instance: 't@1', under: [fingerprint('broken'), fingerprint('under way')] }])
-    expect(log.of('target ended under requests')).to.deep.include.members([{ target: 't@1', service: 's', address: 'a', requests: 'r1 r2', fingerprints: `${fingerprint('broken')} ${fingerprint('under way')}`, underWay: 2 }])
+    expect(log.detailsOf('target ended under requests')).to.deep.include.members([{ target: 't@1', service: 's', address: 'a', requests: 'r1 r2', fingerprints: `${fingerprint('broken')} ${fingerprint('under way')}`, underWay: 2 }])
     await clock.advance(10_000)
     expect(ends).to.have.length(1)
   })
@@ -54,7 +54,7 @@
   it('reports requests that break later, and none twice', async () => {
     const { client, ends, target, watch } = new Fixture()
     const first = watch.track(target, content('1'), 'r1')
-    client.gone.add('a')
+    client.closedAddresses.add('a')
     await Promise.all([first.connectionBroke(), first.connectionBroke()])
     await watch.track(target, content('2'), 'r2').connectionBroke()
     expect(ends.map(({ under }) => under)).to.deep.equal([[fingerprint('1')], [fingerprint('2')]])
@@ -65,13 +65,13 @@
     // and was held for 3.1 s, until its service had two live targets again (`request held back ... ends=2` in the millisecond of the failure).
     for (const [sent, apartMs, expected] of [['together', 0, 1], ['together', 40, 1], ['together', 200, 2], ['one after the other', 0, 2]] as const) {
       const { client, clock, ends, table, target, watch } = new Fixture()
-      table.set(targetDefinition({ id: 'u', incarnation: asIncarnation(1), address: 'b' }))
+      table.set(newTargetDefinition({ id: 'u', incarnation: asIncarnation(1), address: 'b' }))
       const other = table.get('u') ?? target
       const first = watch.track(target, content('1'), 'r1')
       const together = sent === 'together' ? watch.track(other, content('1'), 'r1') : undefined
       const neighbour = watch.track(other, content('2'), 'r2')
       await clock.advance(20)
-      for (const address of ['a', 'b']) client.gone.add(address)
+      for (const address of ['a', 'b']) client.closedAddresses.add(address)
       await first.connectionBroke()
       const second = together ?? watch.track(other, content('1'), 'r1')
       await clock.advance(apartMs)
@@ -87,7 +87,7 @@
     const { client, clock, ends, target, watch } = new Fixture()
     const atWork = watch.track(target, content('at work'), 'r1')
     await clock.advance(50)
-    client.gone.add('a')
+    client.closedAddresses.add('a')
     const broke = atWork.connectionBroke()
     clock.freeze(1)
     const late = watch.track(target, content('late'), 'r2')
@@ -102,7 +102,7 @@
     await clock.advance(1000)
     const fatal = watch.track(target, content('fatal'), 'r2')
     await clock.advance(50)
-    client.gone.add('a')
+    client.closedAddresses.add('a')
     await fatal.connectionBroke()
     expect(ends.flatMap(({ under }) => under)).to.include(fingerprint('fatal'))
   })
@@ -120,7 +120,7 @@
       expect(await watch.track(target, content('1'), 'r1').connectionBroke()).to.equal(false)
       watch.track(target, content('still at work'), 'r2')
       await clock.advance(4000)
-      if (later === 'restart') table.set(targetDefinition({ id: 't', incarnation: asIncarnation(2), address: 'a' }))
+      if (later === 'restart') table.set(newTargetDefinition({ id: 't', incarnation: asIncarnation(2), address: 'a' }))
       else table.remove('t', Number.NEGATIVE_INFINITY)
       // A target whose entry is gone may still be running: it may have lost only its connection to the store.
       expect(ends.flatMap(({ under }) => under), later).to.deep.equal(later === 'restart' ? [fingerprint('1'), fingerprint('still at work')] : [fingerprint('1')])
@@ -131,8 +131,8 @@
     for (const why of ['drains', 'much later'] as const) {
       const { client, clock, ends, table, target, watch } = new Fixture()
       if (why === 'drains') {
-        table.set(targetDefinition({ id: 't', incarnation: asIncarnation(1), address: 'a', draining: true }))
-        client.gone.add('a')
+        table.set(newTargetDefinition({ id: 't', incarnation: asIncarnation(1), address: 'a', draining: true }))
+        client.closedAddresses.add('a')
       }
       expect(await watch.track(target, content('1'), 'r1').connectionBroke()).to.equal(false)
       if (why === 'much later') await clock.advance(10_000)
--- a/test/actors/routes/targetRestarts.test.ts
+++ b/test/actors/routes/targetRestarts.test.ts
@@ -8,7 +8,7 @@
 import { Emitter } from '../../../src/base/common/lifecycle.ts'
 import type { StateLog } from '../../../src/ports/common/observation.ts'
 import { registryProtocol } from '../../../platform/index.ts'
-import { quietMetrics } from '../../support/fakeHost.ts'
+import { noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
@@ -42,7 +42,7 @@
       }
     },
     clock: this.clock,
-    metrics: quietMetrics,
+    metrics: noopMetrics,
     stateLog: this.stateLog,
     onRegained: this.regained.event
   }, { name: 't', longPollMs: 20, pauseMs: () => 0 }, registryProtocol, this.table)
--- a/test/actors/routes/targetTable.test.ts
+++ b/test/actors/routes/targetTable.test.ts
@@ -3,10 +3,10 @@
 import { expect } from 'chai'
 import { TargetTable } from '../../../src/actors/common/routes/targetTable.ts'
 import type { TargetDefinition } from '../../../src/core/common/routes/target.ts'
-import { quietLog } from '../../support/fakeHost.ts'
+import { noopStateLog } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { RecordedLog } from '../../support/recordedLog.ts'
-import { targetDefinition } from '../../support/routes.ts'
+import { newTargetDefinition } from '../../support/routes.ts'
 
 describe('TargetTable', () => {
   let clock: ManualClock
@@ -16,15 +16,15 @@
 
   beforeEach(() => {
     clock = new ManualClock()
-    table = new TargetTable({ clock, stateLog: quietLog })
-    for (const id of ['a', 'b']) table.set(targetDefinition({ id }))
-    table.set(targetDefinition({ id: 'other', service: 'o' }))
+    table = new TargetTable({ clock, stateLog: noopStateLog })
+    for (const id of ['a', 'b']) table.set(newTargetDefinition({ id }))
+    table.set(newTargetDefinition({ id: 'other', service: 'o' }))
   })
 
   it('returns the targets of a service', () => { expect(available()).to.deep.equal(['a', 'b']) })
 
   it('returns no draining target as available', () => {
-    table.set(targetDefinition({ id: 'a', draining: true }))
+    table.set(newTargetDefinition({ id: 'a', draining: true }))
     expect(available()).to.deep.equal(['b'])
     expect(table.all('s')).to.have.length(2)
   })
@@ -50,14 +50,14 @@
     table.get('a')?.recordAnswerTime(70)
     table.remove('a', clock.now)
     await clock.advance(1000)
-    table.set(targetDefinition({ id: 'a' }))
+    table.set(newTargetDefinition({ id: 'a' }))
     await clock.advance(5000)
     expect(available()).to.deep.equal(['a', 'b'])
     expect(table.get('a')?.answerMs).to.equal(70)
   })
 
   it('does not wait for the return of a target that was draining', () => {
-    table.set(targetDefinition({ id: 'a', draining: true }))
+    table.set(newTargetDefinition({ id: 'a', draining: true }))
     table.remove('a', clock.now)
     expect(table.get('a')).to.equal(undefined)
   })
@@ -79,7 +79,7 @@
     // in the topic, and displaced log lines of the preceding hour.
     const log = new RecordedLog()
     const read = new TargetTable({ clock, stateLog: log })
-    const first = [targetDefinition({ id: 'a' }), targetDefinition({ id: 'b', draining: true }), targetDefinition({ id: 'other', service: 'o' })]
+    const first = [newTargetDefinition({ id: 'a' }), newTargetDefinition({ id: 'b', draining: true }), newTargetDefinition({ id: 'other', service: 'o' })]
     const replace = (definitions: readonly TargetDefinition[]): void => {
       read.reload(() => {
         for (const definition of definitions) read.set(definition)
@@ -88,8 +88,8 @@
     }
     replace(first)
     expect(log.lines).to.deep.equal([{ what: 'targets known', details: { targets: 3, draining: 1, services: 'o:1 s:2' } }])
-    read.set(targetDefinition({ id: 'c' }))
-    replace([...first, targetDefinition({ id: 'c', draining: true }), targetDefinition({ id: 'd' })])
+    read.set(newTargetDefinition({ id: 'c' }))
+    replace([...first, newTargetDefinition({ id: 'c', draining: true }), newTargetDefinition({ id: 'd' })])
     read.remove('d', longAgo)
     expect(log.lines.slice(1).map(({ what, details }) => `${what} ${String(details.target)}`)).to.deep.equal(['target registered c', 'target drains c', 'target registered d', 'target gone d'])
   })
--- a/test/actors/routes/unansweredAttempts.test.ts
+++ b/test/actors/routes/unansweredAttempts.test.ts
@@ -11,12 +11,12 @@
 import { hedgeDelayMs } from '../../../src/core/common/routes/hedging.ts'
 import type { TargetClient } from '../../../src/ports/common/targetClient.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
 import type { ScriptedAnswer } from '../../support/scriptedClient.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { guards } from '../../support/targetEnds.ts'
+import { newCrashGuards } from '../../support/targetEnds.ts'
 
 const ownHeaders = { 'bulrushvalve-request-id': 'r', 'bulrushvalve-response-seal': 's' }
 const good: ScriptedAnswer = { afterMs: 20, headers: ownHeaders }
@@ -31,12 +31,12 @@
 }
 
 function startCall (clock: ManualClock, client: TargetClient, targets: readonly string[], details: Partial<Route> = {}, background = false): StartedCall {
-  const table = new TargetTable({ clock, stateLog: quietLog })
-  for (const id of targets) table.set(targetDefinition({ id, address: id }))
+  const table = new TargetTable({ clock, stateLog: noopStateLog })
+  for (const id of targets) table.set(newTargetDefinition({ id, address: id }))
   const stage: StartedCall = { clock, table, ended: undefined }
-  const calls = new RouteCalls({ targets: table, client, ...guards(table, client, clock), protocol: targetProtocol, clock, chance: seededChance(3), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms })
+  const calls = new RouteCalls({ targets: table, client, ...newCrashGuards(table, client, clock), protocol: targetProtocol, clock, chance: newSeededChance(3), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms })
   const beganAt = clock.now
-  calls.call({ route: route(details), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 2000, configuration: 1, background, gone: new AbortController().signal })
+  calls.call({ route: newRoute(details), requestId: 'r', method: 'POST', path: '/a/', headers: (options) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 2000, configuration: 1, background, gone: new AbortController().signal })
     .then((result) => { stage.ended = { result, tookMs: clock.now - beganAt } }, () => undefined)
   return stage
 }
@@ -128,7 +128,7 @@
     const opening: TargetClient = {
       exchange: async () => await new Promise<never>(() => undefined),
       open: async () => await new Promise<never>(() => undefined),
-      distrust: () => undefined,
+      retireConnections: () => undefined,
       listens: async () => 'yes'
     }
     const stage = startCall(clock, opening, ['a', 'b'], { timeoutMs: 700 })
@@ -143,7 +143,7 @@
     const clock = new ManualClock()
     const client = new ScriptedClient(clock, { a: [silent, refused], b: [silent], c: [silent] })
     const stage = startCall(clock, client, ['a'])
-    clock.after(102, () => { for (const id of ['b', 'c']) stage.table.set(targetDefinition({ id, address: id })) })
+    clock.after(102, () => { for (const id of ['b', 'c']) stage.table.set(newTargetDefinition({ id, address: id })) })
     await clock.advance(3000)
     expect(new Set(client.sent.map(({ address }) => address)).size).to.equal(2)
   })
--- a/test/actors/routes/workAtRestartedTargets.test.ts
+++ b/test/actors/routes/workAtRestartedTargets.test.ts
@@ -12,14 +12,14 @@
 import type { Route } from '../../../src/core/common/routes/routeConfiguration.ts'
 import { RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
 import type { ScriptedAnswer } from '../../support/scriptedClient.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { item } from '../../support/steps.ts'
+import { newItem } from '../../support/steps.ts'
 import { newText } from '../../support/texts.ts'
-import { guards } from '../../support/targetEnds.ts'
+import { newCrashGuards } from '../../support/targetEnds.ts'
 
 /** Time of the target's restart after the request, long before its answer would be considered late. */
 const RESTART_MS = 50
@@ -31,7 +31,7 @@
 
 class Fixture {
   readonly clock = new ManualClock()
-  readonly table = new TargetTable({ clock: this.clock, stateLog: quietLog })
+  readonly table = new TargetTable({ clock: this.clock, stateLog: noopStateLog })
   readonly client: ScriptedClient
   readonly services: RouteCallServices
 
@@ -39,11 +39,11 @@
     this.client = new ScriptedClient(this.clock, targets)
     for (const id of Object.keys(targets)) this.start(id, 1)
     for (const id of Object.keys(targets)) if (id !== 'a') this.table.get(id)?.recordAnswerTime(500)
-    this.services = { targets: this.table, client: this.client, ...guards(this.table, this.client, this.clock), protocol: targetProtocol, clock: this.clock, chance: seededChance(3), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms }
+    this.services = { targets: this.table, client: this.client, ...newCrashGuards(this.table, this.client, this.clock), protocol: targetProtocol, clock: this.clock, chance: newSeededChance(3), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms }
   }
 
   start (id: string, incarnation: number): void {
-    this.table.set(targetDefinition({ id, incarnation: asIncarnation(incarnation), address: id, models: [{ model: 'm', version: 2 }] }))
+    this.table.set(newTargetDefinition({ id, incarnation: asIncarnation(incarnation), address: id, models: [{ model: 'm', version: 2 }] }))
   }
 
   /** Restarts target `a` while the work is in progress, and measures when the work ended. */
@@ -57,7 +57,7 @@
   }
 
   request (details: Partial<Route>) {
-    return { route: route({ objectiveMs: 2000, ...details }), requestId: 'r', method: 'POST', path: '/a/', headers: (options: Parameters<typeof targetProtocol.forwardHeaders>[1]) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 2000, configuration: 1, background: false, gone: new AbortController().signal }
+    return { route: newRoute({ objectiveMs: 2000, ...details }), requestId: 'r', method: 'POST', path: '/a/', headers: (options: Parameters<typeof targetProtocol.forwardHeaders>[1]) => targetProtocol.forwardHeaders([], options, { type: 'open' }), body: undefined, waitMs: 2000, configuration: 1, background: false, gone: new AbortController().signal }
   }
 
   get requestedAddresses (): string[] {
@@ -90,7 +90,7 @@
     const [engine] = new EngineRegistry(run.table, run.clock, () => new RouteTable({ version: 1, routes: [], services: [{ name: 's', maximumConnections: 9, engine: { slots: 4, models: ['m'] } }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })).all()
     if (engine === undefined) throw new Error('no engine')
     const held = newText()
-    const ended = await run.measureWithRestart(runItem(run.services, engine, item('i', 'g'), held, { workspace: undefined, host: 'h', model: 'm', minimumVersion: 1, payload: item('i', 'g'), firstEventTimeoutMs: 1000, silenceTimeoutMs: 500, cancelled: new AbortController().signal, onFirstEvent: () => undefined }))
+    const ended = await run.measureWithRestart(runItem(run.services, engine, newItem('i', 'g'), held, { workspace: undefined, host: 'h', model: 'm', minimumVersion: 1, payload: newItem('i', 'g'), firstEventTimeoutMs: 1000, silenceTimeoutMs: 500, cancelled: new AbortController().signal, onFirstEvent: () => undefined }))
     expect([ended.value, ended.tookMs, held.text, [...held.versions]]).to.deep.equal([{ type: 'restarted' }, RESTART_MS, 'd0\nd1', [3]])
   })
 })
--- a/test/actors/routing/grantClient.test.ts
+++ b/test/actors/routing/grantClient.test.ts
@@ -1,19 +1,19 @@
 /** Tests the holder side of admission with fake services. */
 
 import { expect } from 'chai'
-import { asHostId, asPlace, asPoolName, asTargetName, shardKey } from '../../../src/base/common/ids.ts'
+import { asHostId, asFailureDomain, asPoolName, asTargetName, shardKey } from '../../../src/base/common/ids.ts'
 import { success } from '../../../src/base/common/resultCode.ts'
 import type { GrantClientServices } from '../../../src/actors/common/routing/grantClient.ts'
 import { GrantClient } from '../../../src/actors/common/routing/grantClient.ts'
-import type { AcquireAnswer } from '../../../src/ports/common/peers.ts'
+import type { AcquireResponse } from '../../../src/ports/common/peers.ts'
 import type { AcquireRequest } from '../../../src/core/common/routing/admissionMessages.ts'
-import { NodeChance, NodeClock } from '../../../src/adapters/node/nodeClock.ts'
+import { NodeRandomSource, NodeClock } from '../../../src/adapters/node/nodeClock.ts'
 
-const shard = shardKey(asPoolName('drafter'), asPlace('Abdali'))
-const home = { host: asHostId('home'), address: 'http://home', place: asPlace('Abdali'), status: 'alive' as const, incarnation: 1, since: 0 }
+const shard = shardKey(asPoolName('drafter'), asFailureDomain('Abdali'))
+const home = { host: asHostId('home'), address: 'http://home', place: asFailureDomain('Abdali'), status: 'alive' as const, incarnation: 1, since: 0 }
 
 /** Creates a client whose home answers with the given function. */
-function clientWith (answer: (request: AcquireRequest, client: () => GrantClient) => Promise<AcquireAnswer>): { client: GrantClient, released: string[] } {
+function clientWith (answer: (request: AcquireRequest, client: () => GrantClient) => Promise<AcquireResponse>): { client: GrantClient, released: string[] } {
   const released: string[] = []
   const services = {
     membership: { self: { ...home, host: asHostId('here') }, onChange: () => ({ dispose: () => undefined }), pressureOf: () => undefined, probeNow: () => undefined },
@@ -29,14 +29,14 @@
     },
     handlers: { handle: () => undefined },
     clock: new NodeClock(),
-    chance: new NodeChance(1),
+    chance: new NodeRandomSource(1),
     metrics: { count: () => undefined, gauge: () => undefined, timing: () => undefined }
   }
   const client: GrantClient = new GrantClient(services as unknown as GrantClientServices, 1000)
   return { client, released }
 }
 
-function granted (request: AcquireRequest): AcquireAnswer {
+function granted (request: AcquireRequest): AcquireResponse {
   const grant = { grant: request.grant, holder: request.holder, target: asTargetName('t'), workClass: request.workClass, flow: request.flow, caller: request.caller }
   return { type: 'granted', grant, address: 'http://t', pressure: 0 }
 }
@@ -61,7 +61,7 @@
 
   it('releases a slot that is granted after the request was cancelled', async () => {
     const gone = new AbortController()
-    let answer: ((value: AcquireAnswer) => void) | undefined
+    let answer: ((value: AcquireResponse) => void) | undefined
     let asked: AcquireRequest | undefined
     const { client, released } = clientWith(async (request) => await new Promise((resolve) => {
       asked = request
--- a/test/actors/steps/contentsLoad.test.ts
+++ b/test/actors/steps/contentsLoad.test.ts
@@ -4,8 +4,8 @@
 import { GroupAppender } from '../../../src/actors/common/store/groupAppender.ts'
 import { StepContents } from '../../../src/actors/common/steps/stepContents.ts'
 import type { KeyedEntry, KeyedLog } from '../../../src/ports/common/keyedLog.ts'
-import { noHolders } from '../../support/noHolders.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
+import { noContentHolders } from '../../support/noHolders.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
@@ -75,8 +75,8 @@
     const contents = Array.from({ length: HOSTS }, (_, index) => {
       let drawn = 0
       const id = (): string => `${index}-${drawn++}`
-      const services = { log: store.reader(), clock, chance: { id, next: () => 0.5 }, metrics: quietMetrics, stateLog: quietLog }
-      return new StepContents({ ...services, peerContent: noHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
+      const services = { log: store.reader(), clock, chance: { id, next: () => 0.5 }, metrics: noopMetrics, stateLog: noopStateLog }
+      return new StepContents({ ...services, peerContent: noContentHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
     })
     const [writer, reader] = [contents[0], contents[1]]
     if (writer === undefined || reader === undefined) throw new Error('no hosts')
--- a/test/actors/steps/headStarts.test.ts
+++ b/test/actors/steps/headStarts.test.ts
@@ -11,16 +11,16 @@
 import { ItemLengthEstimator } from '../../../src/core/common/steps/itemLengthEstimator.ts'
 import { RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import type { Route } from '../../../src/core/common/routes/routeConfiguration.ts'
-import { quietMetrics } from '../../support/fakeHost.ts'
+import { noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { RecordedLog } from '../../support/recordedLog.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
 import type { FoldedStep } from '../../../src/core/common/steps/stepFold.ts'
 import type { ScriptedAnswer } from '../../support/scriptedClient.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { item } from '../../support/steps.ts'
-import { newText, workOn } from '../../support/texts.ts'
-import { watchEnds } from '../../support/targetEnds.ts'
+import { newItem } from '../../support/steps.ts'
+import { newText, newStepWork } from '../../support/texts.ts'
+import { newTargetEnds } from '../../support/targetEnds.ts'
 
 const responseHeaders = { 'bulrushvalve-request-id': 'long', 'bulrushvalve-response-seal': 's', 'bulrushvalve-weight-versions': '5' }
 const event = (id: number): string => `id: ${id}\ndata: d${id}\n\n`
@@ -33,7 +33,7 @@
   readonly client: ScriptedClient
   readonly starts: HeadStarts
   readonly work: StepWork
-  readonly route: Route = route({ kind: 'steps', host: 'steps.example', pathPrefix: '/steps/', destinations: [{ service: 'engines', weight: 1 }] })
+  readonly route: Route = newRoute({ kind: 'steps', host: 'steps.example', pathPrefix: '/steps/', destinations: [{ service: 'engines', weight: 1 }] })
 
   /** Open steps. */
   readonly steps: FoldedStep[]
@@ -42,18 +42,18 @@
   constructor (answers: readonly ScriptedAnswer[], { version = 5, slots = 12, otherVersion = 0 } = {}) {
     const { clock } = this
     const table = new TargetTable({ clock, stateLog: this.log })
-    table.set(targetDefinition({ id: 'e', service: 'engines', address: 'e', slots, models: [{ model: 'm', version }] }))
-    if (otherVersion > 0) table.set(targetDefinition({ id: 'f', service: 'engines', address: 'f', slots: 6, models: [{ model: 'n', version: otherVersion }] }))
+    table.set(newTargetDefinition({ id: 'e', service: 'engines', address: 'e', slots, models: [{ model: 'm', version }] }))
+    if (otherVersion > 0) table.set(newTargetDefinition({ id: 'f', service: 'engines', address: 'f', slots: 6, models: [{ model: 'n', version: otherVersion }] }))
     const routes = new RouteTable({ version: 1, routes: [this.route], services: [{ name: 'engines', maximumConnections: 9, engine: { slots, models: ['m', 'n'] } }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
     this.client = new ScriptedClient(clock, { e: answers, f: answers })
     const lengths = new ItemLengthEstimator()
     lengths.recordItem(100, 10, 400)
     const board = new EngineRegistry(table, clock, () => routes)
-    this.starts = new HeadStarts({ client: this.client, ends: watchEnds(table, this.client, clock), gate: { isUnrestricted: () => true }, protocol: targetProtocol, clock, metrics: quietMetrics, stateLog: this.log, placement: new ItemPlacement({ board, assignedModel: (engine) => engine === 'f' ? 'n' : 'm', mechanisms: allMechanisms }), createText: newText, lengths, topic: { steps: () => this.steps }, routeOf: () => this.route, mechanisms: allMechanisms }, { firstEventTimeoutMs: 600, silenceTimeoutMs: 500 })
-    this.work = workOn('now', [item('short', 'a', 100), item('long', 'b', 900)], { wantedGroups: 1, minimumVersion: 3 })
+    this.starts = new HeadStarts({ client: this.client, ends: newTargetEnds(table, this.client, clock), gate: { isUnrestricted: () => true }, protocol: targetProtocol, clock, metrics: noopMetrics, stateLog: this.log, placement: new ItemPlacement({ board, assignedModel: (engine) => engine === 'f' ? 'n' : 'm', mechanisms: allMechanisms }), createText: newText, lengths, topic: { steps: () => this.steps }, routeOf: () => this.route, mechanisms: allMechanisms }, { firstEventTimeoutMs: 600, silenceTimeoutMs: 500 })
+    this.work = newStepWork('now', [newItem('short', 'a', 100), newItem('long', 'b', 900)], { wantedGroups: 1, minimumVersion: 3 })
     this.work.waiting.length = 0
     // A second step is open, so that the items left over from the first come in the step after that, which accepts version 5.
-    this.steps = [this.work.step, workOn('next', [item('other', 'c', 100)], { minimumVersion: 4 }).step]
+    this.steps = [this.work.step, newStepWork('next', [newItem('other', 'c', 100)], { minimumVersion: 4 }).step]
   }
 
   replan (): void {
@@ -63,7 +63,7 @@
 
   /** Returns the text that a later step receives for an item. */
   consume (id = 'long') {
-    return this.starts.consume(workOn('later', [item(id, 'b', 900)], { minimumVersion: 5 }), id)
+    return this.starts.consume(newStepWork('later', [newItem(id, 'b', 900)], { minimumVersion: 5 }), id)
   }
 }
 
@@ -89,7 +89,7 @@
   })
 
   it('resume after a broken stream, but not after a failure of the item', async () => {
-    const broken = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(2), breaks: true }, { afterMs: 5, headers: responseHeaders, events: [{ afterMs: 10, raw: event(2) }] }])
+    const broken = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(2), isBroken: true }, { afterMs: 5, headers: responseHeaders, events: [{ afterMs: 10, raw: event(2) }] }])
     broken.replan()
     await broken.clock.advance(700)
     broken.replan()
@@ -121,9 +121,9 @@
     // Guards against two trainers that share the engines of a service blocking each other. While the first trainer's engines
     // had older weights, the second one's items got no head starts, and running head starts of the first used up the share of both.
     const scene = new HeadStartFixture([{ afterMs: 5, headers: responseHeaders, events: events(50) }], { otherVersion: 9 })
-    const other = workOn('other', [item('brief', 'a', 100), item('lasting', 'b', 900)], { wantedGroups: 1, minimumVersion: 7, model: 'n' })
+    const other = newStepWork('other', [newItem('brief', 'a', 100), newItem('lasting', 'b', 900)], { wantedGroups: 1, minimumVersion: 7, model: 'n' })
     other.waiting.length = 0
-    const ahead = workOn('ahead', [item('third', 'c', 100)], { minimumVersion: 8, model: 'n' })
+    const ahead = newStepWork('ahead', [newItem('third', 'c', 100)], { minimumVersion: 8, model: 'n' })
     scene.steps.push(other.step, ahead.step)
     scene.starts.replan([scene.work, other])
     scene.starts.startPlanned(false)
--- a/test/actors/steps/itemGate.test.ts
+++ b/test/actors/steps/itemGate.test.ts
@@ -8,11 +8,11 @@
 import { newItemWork } from '../../../src/actors/common/steps/stepWork.ts'
 import type { HoldState } from '../../../src/core/common/routes/heldRequestFold.ts'
 import { ManualClock, settle } from '../../support/manualClock.ts'
-import { route } from '../../support/routes.ts'
-import { item } from '../../support/steps.ts'
+import { newRoute } from '../../support/routes.ts'
+import { newItem } from '../../support/steps.ts'
 import { newText } from '../../support/texts.ts'
 
-const payload = item('i', 'g')
+const payload = newItem('i', 'g')
 const held: HoldState = { type: 'held', ends: 2, trials: 0, trialUnderWay: false, nextTrialInMs: 0 }
 
 class GateFixture {
@@ -23,7 +23,7 @@
   admitted = 0
   answered = 0
   withdrawn = 0
-  readonly work: ItemWork = newItemWork({ item: item('i', 'g'), rank: 'wanted' }, newText(), 0)
+  readonly work: ItemWork = newItemWork({ item: newItem('i', 'g'), rank: 'wanted' }, newText(), 0)
   readonly gate = new ItemGate({
     held: {
       standing: () => this.standing,
@@ -38,7 +38,7 @@
   })
 
   mayStart (): boolean {
-    return this.gate.mayStart('h', route(), this.work, payload)
+    return this.gate.mayStart('h', newRoute(), this.work, payload)
   }
 
   end (type: RunOutcome['type']): void {
--- a/test/actors/steps/itemRun.test.ts
+++ b/test/actors/steps/itemRun.test.ts
@@ -10,14 +10,14 @@
 import { asTextId } from '../../../src/base/common/ids.ts'
 import { PROGRESS_RETENTION_MS, FULL_SAVE_AGE_MS, encodeProgress, progressKey, parseProgress } from '../../../src/core/common/steps/progress.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog } from '../../support/fakeHost.ts'
+import { noopStateLog } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
-import { targetDefinition } from '../../support/routes.ts'
+import { newTargetDefinition } from '../../support/routes.ts'
 import type { ScriptedAnswer, SentRequest } from '../../support/scriptedClient.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { item } from '../../support/steps.ts'
+import { newItem } from '../../support/steps.ts'
 import { newText } from '../../support/texts.ts'
-import { watchEnds } from '../../support/targetEnds.ts'
+import { newTargetEnds } from '../../support/targetEnds.ts'
 
 const responseHeaders = { 'bulrushvalve-request-id': 'i', 'bulrushvalve-response-seal': 's', 'bulrushvalve-weight-versions': '3' }
 const event = (id: number, version?: number): string => `${version === undefined ? '' : `bulrushvalve-weight-versions: ${version}\n`}id: ${id}\ndata: d${id}\n\n`
@@ -25,8 +25,8 @@
 
 async function run (answer: ScriptedAnswer, { text = newText(), minimumVersion = 2, cancelAfterMs = Number.POSITIVE_INFINITY } = {}): Promise<{ end: RunOutcome, text: ItemText, sent: SentRequest | undefined, version: number, tookMs: number, firstMs: number }> {
   const clock = new ManualClock()
-  const table = new TargetTable({ clock, stateLog: quietLog })
-  table.set(targetDefinition({ id: 'e', service: 'engines', address: 'e', models: [{ model: 'm', version: 2 }] }))
+  const table = new TargetTable({ clock, stateLog: noopStateLog })
+  table.set(newTargetDefinition({ id: 'e', service: 'engines', address: 'e', models: [{ model: 'm', version: 2 }] }))
   const routes = new RouteTable({ version: 1, routes: [], services: [{ name: 'engines', maximumConnections: 9, engine: { slots: 4, models: ['m'] } }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
   const [engine] = new EngineRegistry(table, clock, () => routes).all()
   if (engine === undefined) throw new Error('no engine')
@@ -36,7 +36,7 @@
   let tookMs = Number.POSITIVE_INFINITY
   let firstMs = Number.POSITIVE_INFINITY
   const began = clock.now
-  const ended = runItem({ client, protocol: targetProtocol, clock, ends: watchEnds(table, client, clock) }, engine, item('i', 'g'), text, { workspace: undefined, host: 'h', model: 'm', minimumVersion, payload: item('i', 'g'), firstEventTimeoutMs: 1000, silenceTimeoutMs: 500, cancelled: cancel.signal, onFirstEvent: () => { firstMs = clock.now - began } })
+  const ended = runItem({ client, protocol: targetProtocol, clock, ends: newTargetEnds(table, client, clock) }, engine, newItem('i', 'g'), text, { workspace: undefined, host: 'h', model: 'm', minimumVersion, payload: newItem('i', 'g'), firstEventTimeoutMs: 1000, silenceTimeoutMs: 500, cancelled: cancel.signal, onFirstEvent: () => { firstMs = clock.now - began } })
   ended.then(() => { tookMs = clock.now - began }).catch(() => undefined)
   await clock.advance(5000)
   return { end: await ended, text, sent: client.sent[0], version: engine.version('m'), tookMs, firstMs }
--- a/test/actors/steps/peerContentReader.test.ts
+++ b/test/actors/steps/peerContentReader.test.ts
@@ -10,10 +10,10 @@
 import { resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import { StepFold } from '../../../src/core/common/steps/stepFold.ts'
 import type { PeerHandlers, Peers } from '../../../src/ports/common/peers.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 describe('texts while the store is unavailable', () => {
   let clock: ManualClock
@@ -43,8 +43,8 @@
 
   function createContents (name: string): StepContents {
     let drawn = 0
-    const metrics = { ...quietMetrics, count: (counter: CounterName, by = 1) => { counters.set(counter, (counters.get(counter) ?? 0) + by) } }
-    const services = { log, clock, chance: { id: () => `${name}-${drawn++}`, next: () => 0.5 }, metrics, stateLog: quietLog }
+    const metrics = { ...noopMetrics, count: (counter: CounterName, by = 1) => { counters.set(counter, (counters.get(counter) ?? 0) + by) } }
+    const services = { log, clock, chance: { id: () => `${name}-${drawn++}`, next: () => 0.5 }, metrics, stateLog: noopStateLog }
     const holders = new PeerContentReader({ peers, metrics, failureDomainOf: (address) => address === 'http://writer' ? 'a' : 'b' }, { address: `http://${name}`, place: name === 'writer' ? 'a' : 'b' })
     const contents = new StepContents({ ...services, peerContent: holders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
     registerContentHandlers({ handle: (method, handler) => { handlers.set(`http://${name} ${method}`, handler as never) } } satisfies PeerHandlers, contents)
@@ -107,7 +107,7 @@
 
   it('name their writer in the listed result, and results without a writer are still read', () => {
     const fold = new StepFold()
-    const { outline } = submissionRecords(submission('s', ['a', 'b'].map((id) => item(id, 'g'))), 1, 'n')
+    const { outline } = submissionRecords(newSubmission('s', ['a', 'b'].map((id) => newItem(id, 'g'))), 1, 'n')
     const listed = (id: string, from: string | undefined) => resultRecord('s', { item: id, state: 'complete', versions: [1], score: undefined, textKey: `text of ${id}`, textFrom: from }, 'n')
     fold.apply([...outline, listed('a', 'http://writer'), listed('b', undefined)].map((record, offset) => ({ ...record, offset })))
     expect(fold.step('s')?.results.map(({ textFrom }) => textFrom)).to.deep.equal(['http://writer', undefined])
--- a/test/actors/steps/progressStore.test.ts
+++ b/test/actors/steps/progressStore.test.ts
@@ -7,13 +7,13 @@
 import { failure, success } from '../../../src/base/common/resultCode.ts'
 import type { ProgressPart } from '../../../src/core/common/steps/progress.ts'
 import { progressKey } from '../../../src/core/common/steps/progress.ts'
-import type { History } from '../../../src/ports/common/history.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
+import type { UnkeyedLog } from '../../../src/ports/common/unkeyedLog.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 
 const RECORD_BYTES = 3000
 
-class BoundedHistory implements History {
+class BoundedHistory implements UnkeyedLog {
   readonly records: string[] = []
   refused = 0
 
@@ -38,7 +38,7 @@
 
 describe('saved progress', () => {
   const part = (item: string, count: number, size: number, from = 0): ProgressPart => ({ step: 's', item, text: asTextId(`text of ${item}`), from, events: Array.from({ length: count }, (_, index) => `${from + index}:`.padEnd(size, 'é')), last: 100 + from + count - 1, versions: [1] })
-  const createStore = (history: History) => new ProgressStore({ history, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })
+  const createStore = (history: UnkeyedLog) => new ProgressStore({ history, clock: new ManualClock(), metrics: noopMetrics, stateLog: noopStateLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })
 
   it('fits into the records of the store, however many items run at once', async () => {
     // Guards against a host that takes over the steps and starts items from the beginning that had run for seconds. With 190
@@ -73,7 +73,7 @@
     // since the start of the deployment.
     const history = new BoundedHistory()
     const clock = new ManualClock()
-    const store = new ProgressStore({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })
+    const store = new ProgressStore({ history, clock, metrics: noopMetrics, stateLog: noopStateLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })
     for (let second = 0; second < 60; second++) {
       await store.save([part(`i${second}`, 3, 20)])
       await clock.advance(1000)
@@ -88,7 +88,7 @@
     // As all its earlier saves had expired, it trimmed everything before this save, including its successor's saves.
     const history = new BoundedHistory()
     const clock = new ManualClock()
-    const [former, successor] = [0, 1].map(() => new ProgressStore({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })) as [ProgressStore, ProgressStore]
+    const [former, successor] = [0, 1].map(() => new ProgressStore({ history, clock, metrics: noopMetrics, stateLog: noopStateLog }, { saveIntervalMs: 400, maxRecordBytes: RECORD_BYTES, enabled: true })) as [ProgressStore, ProgressStore]
     await former.save([part('old', 2, 10)])
     await clock.advance(20_000)
     await successor.save([part('i', 2, 10)])
--- a/test/actors/steps/sampleScorer.test.ts
+++ b/test/actors/steps/sampleScorer.test.ts
@@ -8,23 +8,23 @@
 import { SampleScorer } from '../../../src/actors/common/steps/sampleScorer.ts'
 import { RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
 import type { ScriptedAnswer } from '../../support/scriptedClient.ts'
 import { ScriptedClient } from '../../support/scriptedClient.ts'
-import { guards } from '../../support/targetEnds.ts'
+import { newCrashGuards } from '../../support/targetEnds.ts'
 
 const sealedResponse = (status = 200, afterMs = 100): ScriptedAnswer => ({ afterMs, status, headers: { 'bulrushvalve-response-seal': 'seal' } })
 
 function createScorer (script: Readonly<Record<string, readonly ScriptedAnswer[]>>): { clock: ManualClock, client: ScriptedClient, scorer: SampleScorer } {
   const clock = new ManualClock()
   const client = new ScriptedClient(clock, script)
-  const targets = new TargetTable({ clock, stateLog: quietLog })
-  for (const id of Object.keys(script)) targets.set(targetDefinition({ id, address: id }))
-  const routes = new RouteTable({ version: 1, routes: [route({ attempts: 3 })], services: [], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
-  const calls = new RouteCalls({ targets, client, ...guards(targets, client, clock), protocol: targetProtocol, clock, chance: seededChance(1), metrics: quietMetrics, stateLog: quietLog, place: 'here', mechanisms: allMechanisms })
-  return { clock, client, scorer: new SampleScorer({ calls, protocol: targetProtocol, clock, stateLog: quietLog, routes: () => routes }) }
+  const targets = new TargetTable({ clock, stateLog: noopStateLog })
+  for (const id of Object.keys(script)) targets.set(newTargetDefinition({ id, address: id }))
+  const routes = new RouteTable({ version: 1, routes: [newRoute({ attempts: 3 })], services: [], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
+  const calls = new RouteCalls({ targets, client, ...newCrashGuards(targets, client, clock), protocol: targetProtocol, clock, chance: newSeededChance(1), metrics: noopMetrics, stateLog: noopStateLog, place: 'here', mechanisms: allMechanisms })
+  return { clock, client, scorer: new SampleScorer({ calls, protocol: targetProtocol, clock, stateLog: noopStateLog, routes: () => routes }) }
 }
 
 const call = (id: string) => ({ requestId: id, host: 'calls.example', path: '/a/x', body: btoa('text') })
--- a/test/actors/steps/stepCleaner.test.ts
+++ b/test/actors/steps/stepCleaner.test.ts
@@ -9,9 +9,9 @@
 import type { StepChange } from '../../../src/core/common/steps/stepFold.ts'
 import { endRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import type { KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
-import { quietLog } from '../../support/fakeHost.ts'
+import { noopStateLog } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 const KEEP_MS = 150_000
 
@@ -28,7 +28,7 @@
   }
 
   function accept (id: string, submittedAt: number): void {
-    write(submissionRecords(submission(id, [item('a', 'g')]), submittedAt, 'n').outline)
+    write(submissionRecords(newSubmission(id, [newItem('a', 'g')]), submittedAt, 'n').outline)
   }
 
   beforeEach(() => {
@@ -49,7 +49,7 @@
       contents: { deleteRecords: async () => success(0) },
       duty: { holds: true },
       clock,
-      stateLog: quietLog
+      stateLog: noopStateLog
     }
     cleaner = new StepCleaner(services as unknown as StepCleanerServices, KEEP_MS)
   })
--- a/test/actors/steps/stepContents.test.ts
+++ b/test/actors/steps/stepContents.test.ts
@@ -12,11 +12,11 @@
 import type { KeyedLog, NewestPage } from '../../../src/ports/common/keyedLog.ts'
 import type { Result } from '../../../src/base/common/resultCode.ts'
 import { failure } from '../../../src/base/common/resultCode.ts'
-import { noHolders } from '../../support/noHolders.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
+import { noContentHolders } from '../../support/noHolders.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 describe('the contents of steps', () => {
   let clock: ManualClock
@@ -54,8 +54,8 @@
       drawn++
       return `${own}-nonce-${drawn}`
     }
-    const services = { log: keyed, clock, chance: { id, next: () => 0.5 }, metrics: quietMetrics, stateLog: quietLog }
-    return new StepContents({ ...services, peerContent: noHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
+    const services = { log: keyed, clock, chance: { id, next: () => 0.5 }, metrics: noopMetrics, stateLog: noopStateLog }
+    return new StepContents({ ...services, peerContent: noContentHolders, appender: new GroupAppender(services, { maxCallCharacters: 1_000_000 }) })
   }
 
   async function advanceAndAwait<T> (asked: Promise<T>): Promise<T> {
@@ -64,7 +64,7 @@
   }
 
   function stepOf (id: string): { readonly step: FoldedStep, readonly payloads: ReturnType<typeof submissionRecords>['payloads'] } {
-    const records = submissionRecords(submission(id, [item('a', 'g', 10, 'score-a'), item('b', 'g')]), 1, 'n')
+    const records = submissionRecords(newSubmission(id, [newItem('a', 'g', 10, 'score-a'), newItem('b', 'g')]), 1, 'n')
     const fold = new StepFold()
     fold.apply(records.outline.map((record, offset) => ({ ...record, offset })))
     const step = fold.step(id)
@@ -211,7 +211,7 @@
   it('are read as written, for any size and any characters', () => {
     const text = fc.oneof(fc.string({ unit: 'grapheme', maxLength: 50 }), fc.constant(''), fc.constant('é"\\\n'.repeat(40_000)))
     fc.assert(fc.property(fc.array(text, { minLength: 1, maxLength: 4 }), (bodies) => {
-      const items = bodies.map((body, index) => ({ ...item(`i${index}`, 'g'), body }))
+      const items = bodies.map((body, index) => ({ ...newItem(`i${index}`, 'g'), body }))
       const records = payloadRecords('a/b c', items, 'n')
       for (const { value } of records) expect(Buffer.byteLength(value ?? '')).to.be.lessThan(262_000)
       const read = parsePayloads(records.map(({ value }) => value ?? ''))
--- a/test/actors/steps/stepRequestHandler.test.ts
+++ b/test/actors/steps/stepRequestHandler.test.ts
@@ -4,9 +4,9 @@
 import { StepRequestHandler } from '../../../src/actors/common/steps/stepRequestHandler.ts'
 import { StepFold } from '../../../src/core/common/steps/stepFold.ts'
 import { resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 describe('a read of a step', () => {
   for (const isLost of [false, true]) {
@@ -15,11 +15,11 @@
       // not show whether all of them were missing or whether this host reached the store.
       const fold = new StepFold()
       const results = ['a', 'b', 'c'].map((id) => resultRecord('s', { item: id, state: 'complete', versions: [1], score: undefined, textKey: `text of ${id}` }, 'n'))
-      const { outline } = submissionRecords(submission('s', ['a', 'b', 'c'].map((id) => item(id, 'g'))), 1, 'n')
+      const { outline } = submissionRecords(newSubmission('s', ['a', 'b', 'c'].map((id) => newItem(id, 'g'))), 1, 'n')
       fold.apply([...outline, ...results].map((record, offset) => ({ ...record, offset })))
       const topic = { step: (id: string) => fold.step(id), isLost }
       const contents = { texts: async () => [undefined, 'text', undefined] }
-      const desk = new StepRequestHandler({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { acceptTimeoutMs: 1, endTimeoutMs: 1, maxWaitMs: 1, maxSubmissionCharacters: 1 })
+      const desk = new StepRequestHandler({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: noopMetrics, stateLog: noopStateLog }, { acceptTimeoutMs: 1, endTimeoutMs: 1, maxWaitMs: 1, maxSubmissionCharacters: 1 })
       const page = await desk.results({ id: 's', workspace: undefined }, 0, 0, new AbortController().signal)
       expect(page).to.include({ ok: false, code: 'stale', message: `2 of 3 texts are currently unavailable, store ${isLost ? 'lost' : 'reached'}` })
     })
@@ -29,7 +29,7 @@
     // Guards against a result that seems to disappear: one host returns it, and another, which reads the store at intervals,
     // reports for most of a second that there is none. Trainers send each request to a different host.
     const fold = new StepFold()
-    const { outline } = submissionRecords(submission('s', ['a', 'b'].map((id) => item(id, 'g'))), 1, 'n')
+    const { outline } = submissionRecords(newSubmission('s', ['a', 'b'].map((id) => newItem(id, 'g'))), 1, 'n')
     const listed = resultRecord('s', { item: 'a', state: 'complete', versions: [1], score: undefined, textKey: 'text of a' }, 'n')
     fold.apply(outline.map((record, offset) => ({ ...record, offset })))
     const topic = {
@@ -41,7 +41,7 @@
       }
     }
     const contents = { texts: async () => ['text'] }
-    const desk = new StepRequestHandler({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: quietMetrics, stateLog: quietLog }, { acceptTimeoutMs: 1, endTimeoutMs: 1, maxWaitMs: 1, maxSubmissionCharacters: 1 })
+    const desk = new StepRequestHandler({ topic: topic as never, appender: {} as never, contents: contents as never, clock: new ManualClock(), metrics: noopMetrics, stateLog: noopStateLog }, { acceptTimeoutMs: 1, endTimeoutMs: 1, maxWaitMs: 1, maxSubmissionCharacters: 1 })
     const page = await desk.results({ id: 's', workspace: undefined }, 0, 0, new AbortController().signal)
     expect(page.ok && page.value.results.map(({ item: id }) => id)).to.deep.equal(['a'])
   })
--- a/test/actors/steps/unfinishedTexts.test.ts
+++ b/test/actors/steps/unfinishedTexts.test.ts
@@ -7,9 +7,9 @@
 import type { SavedText } from '../../../src/core/common/steps/progress.ts'
 import { progressKey } from '../../../src/core/common/steps/progress.ts'
 import { ManualClock } from '../../support/manualClock.ts'
-import { item } from '../../support/steps.ts'
-import type { AppendFate } from '../../support/texts.ts'
-import { FatefulHistory, itemOf, textsOfHost, workOn } from '../../support/texts.ts'
+import { newItem } from '../../support/steps.ts'
+import type { AppendOutcome } from '../../support/texts.ts'
+import { ScriptedHistory, itemWorkOf, newHostTexts, newStepWork } from '../../support/texts.ts'
 
 /** Simulates runs on engines. Each event names the run that generated it, and the events that precede each run are recorded. */
 class EngineRuns {
@@ -43,25 +43,25 @@
 
 const STEP = 's'
 const key = progressKey(STEP, 'i')
-const items = [item('i', 'g')]
+const items = [newItem('i', 'g')]
 
 /** A host that runs the item `i` of the step `s`. */
 class Holder {
   private readonly host
-  private work = workOn(STEP, items)
+  private work = newStepWork(STEP, items)
 
-  constructor (history: FatefulHistory, clock: ManualClock) {
-    this.host = textsOfHost(history, clock)
+  constructor (history: ScriptedHistory, clock: ManualClock) {
+    this.host = newHostTexts(history, clock)
   }
 
   get itemWork (): ItemWork {
-    return itemOf(this.work, 'i')
+    return itemWorkOf(this.work, 'i')
   }
 
   /** Takes over the duty, possibly after having lost it. */
   async takeOver (): Promise<void> {
     this.host.held.retain(this.work)
-    this.work = workOn(STEP, items)
+    this.work = newStepWork(STEP, items)
     this.host.held.restore(this.work, this.itemWork, await this.host.progress.load(), false)
     this.itemWork.state = 'running'
   }
@@ -74,12 +74,12 @@
 type Action =
   | { readonly type: 'take over', readonly host: number }
   | { readonly type: 'begin anew', readonly host: number }
-  | { readonly type: 'run and save', readonly host: number, readonly count: number, readonly fate: AppendFate }
+  | { readonly type: 'run and save', readonly host: number, readonly count: number, readonly fate: AppendOutcome }
   | { readonly type: 'land' }
   | { readonly type: 'trim', readonly records: number }
 
 const host = fc.integer({ min: 0, max: 1 })
-const fate = fc.constantFrom<AppendFate>('kept', 'kept', 'kept', 'lost', 'answer lost', 'late', 'twice')
+const fate = fc.constantFrom<AppendOutcome>('kept', 'kept', 'kept', 'lost', 'answer lost', 'late', 'twice')
 const actions: fc.Arbitrary<Action[]> = fc.array(fc.oneof(
   { weight: 3, arbitrary: fc.record({ type: fc.constant('take over' as const), host }) },
   { weight: 10, arbitrary: fc.record({ type: fc.constant('run and save' as const), host, count: fc.integer({ min: 0, max: 3 }), fate }) },
@@ -94,11 +94,11 @@
     // had not resumed there. A holder was suspended, another one took over and saved, and then the first saved the events
     // of its own run. Saved events were joined by their position alone, so a third holder read them as one text.
     await fc.assert(fc.asyncProperty(actions, async (script) => {
-      const history = new FatefulHistory()
+      const history = new ScriptedHistory()
       const clock = new ManualClock()
       const runs = new EngineRuns()
       const holders = [0, 1].map(() => new Holder(history, clock))
-      const reader = textsOfHost(history, clock)
+      const reader = newHostTexts(history, clock)
       let trimmed = 0
       for (const action of script) {
         switch (action.type) {
@@ -108,12 +108,12 @@
             const holder = holders[action.host]
             if (holder?.itemWork.state !== 'running') break
             runs.run(holder.itemWork.text, action.count)
-            history.fate = action.fate
+            history.appendOutcome = action.fate
             const saved = holder.save()
             if (action.fate !== 'late') await saved
             break
           }
-          case 'land': history.land(); break
+          case 'land': history.applyDelayedAppends(); break
           case 'trim': {
             trimmed = Math.min(history.records.length, trimmed + action.records)
             await history.trim(trimmed)
@@ -130,7 +130,7 @@
     // Guards against a third holder resuming from events 1 to 20 of one run and 21 to 25 of another that had resumed after
     // event 10. The first holder is suspended after it saved 10 events, the second resumes from them and saves 20, and
     // then the first wakes up and saves its own events 11 to 25.
-    const history = new FatefulHistory()
+    const history = new ScriptedHistory()
     const clock = new ManualClock()
     const runs = new EngineRuns()
     const [first, second, third] = [0, 1, 2].map(() => new Holder(history, clock)) as [Holder, Holder, Holder]
@@ -153,22 +153,22 @@
   it('that is restarted during a save is saved from its first event', async () => {
     // Guards against a text of two runs. If the item failed and was restarted during a save, events of the new run counted
     // as saved when the store answered, because only their number was compared.
-    const history = new FatefulHistory()
+    const history = new ScriptedHistory()
     const clock = new ManualClock()
     const runs = new EngineRuns()
     const holder = new Holder(history, clock)
     await holder.takeOver()
     runs.run(holder.itemWork.text, 4)
-    history.fate = 'late'
+    history.appendOutcome = 'late'
     const saved = holder.save()
     await clock.advance(0)
     holder.itemWork.text.clear()
     runs.run(holder.itemWork.text, 5)
-    history.land()
+    history.applyDelayedAppends()
     await saved
-    history.fate = 'kept'
+    history.appendOutcome = 'kept'
     await holder.save()
-    const text = (await textsOfHost(history, clock).progress.load()).get(key)
+    const text = (await newHostTexts(history, clock).progress.load()).get(key)
     expect(text?.events).to.deep.equal(holder.itemWork.text.events)
     runs.expectChain(text ?? { events: [], last: 0, versions: [] })
   })
@@ -177,22 +177,22 @@
     // Guards against an item of a later step that resumes from the text of another prompt, and against a host that takes over
     // and does not find the beginning of a text. Unfinished texts were retained by item id alone, and events saved for the
     // earlier step counted as saved for the later one.
-    const history = new FatefulHistory()
+    const history = new ScriptedHistory()
     const clock = new ManualClock()
     const runs = new EngineRuns()
-    const { held, progress } = textsOfHost(history, clock)
-    const earlier = workOn('s1', items)
-    runs.run(itemOf(earlier, 'i').text, 3)
+    const { held, progress } = newHostTexts(history, clock)
+    const earlier = newStepWork('s1', items)
+    runs.run(itemWorkOf(earlier, 'i').text, 3)
     held.retain(earlier)
 
     for (const [name, changed] of Object.entries({ body: { body: btoa('another prompt') }, path: { path: '/items/other' }, headers: { headers: { 'x-prompt': 'other' } } })) {
-      const other = workOn('s2', items.map((same) => ({ ...same, ...changed })))
-      held.restore(other, itemOf(other, 'i'), new Map(), false)
-      expect(itemOf(other, 'i').text.events, name).to.deep.equal([])
+      const other = newStepWork('s2', items.map((same) => ({ ...same, ...changed })))
+      held.restore(other, itemWorkOf(other, 'i'), new Map(), false)
+      expect(itemWorkOf(other, 'i').text.events, name).to.deep.equal([])
     }
 
-    const later = workOn('s3', items)
-    const itemWork = itemOf(later, 'i')
+    const later = newStepWork('s3', items)
+    const itemWork = itemWorkOf(later, 'i')
     held.restore(later, itemWork, new Map(), false)
     expect(itemWork.text.events).to.have.length(3)
     itemWork.state = 'running'
@@ -202,18 +202,18 @@
   })
 
   it('is resumed from the longer of the retained and the stored text', async () => {
-    const history = new FatefulHistory()
+    const history = new ScriptedHistory()
     const clock = new ManualClock()
     const runs = new EngineRuns()
-    const { held } = textsOfHost(history, clock)
-    const own = workOn(STEP, items)
-    runs.run(itemOf(own, 'i').text, 3)
+    const { held } = newHostTexts(history, clock)
+    const own = newStepWork(STEP, items)
+    runs.run(itemWorkOf(own, 'i').text, 3)
     held.retain(own)
     for (const [saved, expected] of [[2, 3], [5, 5]] as const) {
-      const again = workOn(STEP, items)
+      const again = newStepWork(STEP, items)
       const events = Array.from({ length: saved }, (_, index) => `9:${index + 1}`)
-      held.restore(again, itemOf(again, 'i'), new Map([[key, { events, last: saved, versions: [1] }]]), false)
-      expect(itemOf(again, 'i').text.events).to.have.length(expected)
+      held.restore(again, itemWorkOf(again, 'i'), new Map([[key, { events, last: saved, versions: [1] }]]), false)
+      expect(itemWorkOf(again, 'i').text.events).to.have.length(expected)
     }
   })
 })
--- a/test/actors/store/appendFailureLogger.test.ts
+++ b/test/actors/store/appendFailureLogger.test.ts
@@ -43,7 +43,7 @@
     await peers.call('helper', 'store.append', { topic: 't', records }, 100)
     await peers.call('silent', 'store.append', { topic: 't', records }, 100)
     await peers.call('silent', 'store.newest', { topic: 't' }, 100)
-    expect(log.of('append not confirmed').map(({ way, code }) => `${String(way)} ${String(code)}`)).to.deep.equal(['helper logUnavailable', 'silent unknownOutcome'])
+    expect(log.detailsOf('append not confirmed').map(({ way, code }) => `${String(way)} ${String(code)}`)).to.deep.equal(['helper logUnavailable', 'silent unknownOutcome'])
   })
 
   it('logs refusals at most once per second and route, with the number of suppressed ones', async () => {
@@ -52,9 +52,9 @@
       await direct.append(records)
       clock.freeze(30)
     }
-    expect(log.of('append not confirmed').map(({ unwritten }) => unwritten)).to.deep.equal([0, 16])
+    expect(log.detailsOf('append not confirmed').map(({ unwritten }) => unwritten)).to.deep.equal([0, 16])
     answer = failure('commandUnknown', 'no answer')
     for (let turn = 0; turn < 3; turn++) await direct.append(records)
-    expect(log.of('append not confirmed')).to.have.length(5)
+    expect(log.detailsOf('append not confirmed')).to.have.length(5)
   })
 })
--- a/test/actors/store/appendedOnce.test.ts
+++ b/test/actors/store/appendedOnce.test.ts
@@ -12,10 +12,10 @@
 import { claimRecord, resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import type { KeyedLog, KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
 import type { PeerMethod, PeerMethods, Peers } from '../../../src/ports/common/peers.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 /** Outcome of one call: applied and answered, refused by the store, connection refused, or unanswered and applied at once, later or never. */
 const CALL_OUTCOMES = ['done', 'refused', 'nobody', 'lost', 'late', 'never'] as const
@@ -56,8 +56,8 @@
       readSome: async (from, kilobytes) => await this.store.readSome(from, kilobytes),
       newest: async (after) => await this.store.newest(after)
     }
-    const failureLogger = new AppendFailureLogger({ clock, stateLog: { ...quietLog, decided: (what, details) => { this.lines.push({ what, ...details }) } } })
-    this.log = new RelayedKeyedLog({ peers: failureLogger.wrapPeers(peers), helpers: () => ['one', 'two', 'three'], reach: new StoreReachability(clock, async () => false), metrics: quietMetrics }, failureLogger.wrapLog('t', direct), 't')
+    const failureLogger = new AppendFailureLogger({ clock, stateLog: { ...noopStateLog, decided: (what, details) => { this.lines.push({ what, ...details }) } } })
+    this.log = new RelayedKeyedLog({ peers: failureLogger.wrapPeers(peers), helpers: () => ['one', 'two', 'three'], reach: new StoreReachability(clock, async () => false), metrics: noopMetrics }, failureLogger.wrapLog('t', direct), 't')
   }
 }
 
@@ -79,7 +79,7 @@
   const clock = new ManualClock()
   const result = (id: string, nonce: string): KeyedRecord => resultRecord('s', { item: id, state: 'complete', versions: [1], score: undefined, textKey: `${id} by ${nonce}` }, nonce)
   const append = async (log: KeyedLog, id: string): Promise<Result<number>> => {
-    const appender = new GroupAppender({ log, clock, chance: seededChance(1), metrics: quietMetrics }, { maxCallCharacters: 1000 })
+    const appender = new GroupAppender({ log, clock, chance: newSeededChance(1), metrics: noopMetrics }, { maxCallCharacters: 1000 })
     const appended = appender.append((nonce) => [result(id, nonce)], 1000)
     await clock.advance(200)
     return await appended
@@ -91,10 +91,10 @@
     // one was applied too. With the same key, the record moved behind the results written in between for hosts that
     // loaded the topic, and kept its first position for hosts that had followed it.
     const { store, log } = new RelayedStore(clock, outcomesInTurn('refused', 'late', 'done'))
-    store.write(submissionRecords(submission('s', [item('a', 'g'), item('b', 'g')]), 1, 'n').outline)
+    store.write(submissionRecords(newSubmission('s', [newItem('a', 'g'), newItem('b', 'g')]), 1, 'n').outline)
     expect((await append(log, 'a')).ok).to.equal(true)
     store.write([result('b', 'other')])
-    store.land()
+    store.applyDelayedAppends()
     const { followed, loaded } = foldBothWays(store)
     expect(followed.step('s')?.results.map(({ item }) => item)).to.deep.equal(['a', 'b'])
     expect(loaded.step('s')?.results).to.deep.equal(followed.step('s')?.results)
@@ -106,7 +106,7 @@
     const { store, log } = new RelayedStore(clock, outcomesInTurn('refused', 'late', 'done'))
     await log.append([claimRecord({ duty: 'd', holder: 'one', term: 1 }, 'x')])
     store.write([claimRecord({ duty: 'd', holder: 'two', term: 1 }, 'y')])
-    store.land()
+    store.applyDelayedAppends()
     const { followed, loaded } = foldBothWays(store)
     expect(loaded.duty('d')?.holder).to.equal(followed.duty('d')?.holder)
   })
@@ -116,7 +116,7 @@
     // answer, the second was refused by the store, and the refusal was taken as the outcome of both.
     const { store, log } = new RelayedStore(clock, outcomesInTurn('refused', 'late', 'refused'))
     expect(await log.append([result('a', 'n')])).to.include({ ok: false, code: 'commandUnknown' })
-    store.land()
+    store.applyDelayedAppends()
     expect(store.entries).to.have.length(1)
   })
 
@@ -133,7 +133,7 @@
       const { store, log } = new RelayedStore(clock, outcomesInTurn(...outcomes))
       const answers: Result<number>[] = []
       for (let append = 0; append < 3; append++) answers.push(await log.append([{ key: `key${append}`, value: 'x' }]))
-      store.land()
+      store.applyDelayedAppends()
       answers.forEach((answer, append) => {
         const written = store.entries.filter(({ key }) => key === `key${append}`).length
         if (answer.ok) expect(written).to.equal(1)
@@ -152,7 +152,7 @@
 
   it('keep an unknown outcome when later attempts are refused', async () => {
     const { log } = new RelayedStore(clock, outcomesInTurn('refused', 'late', ...Array.from({ length: 100 }, () => 'refused' as const)))
-    const appender = new GroupAppender({ log, clock, chance: seededChance(1), metrics: quietMetrics }, { maxCallCharacters: 1000 })
+    const appender = new GroupAppender({ log, clock, chance: newSeededChance(1), metrics: noopMetrics }, { maxCallCharacters: 1000 })
     const appended = appender.append((nonce) => [result('a', nonce)], 300)
     await clock.advance(500)
     expect(await appended).to.include({ ok: false, code: 'commandUnknown' })
--- a/test/actors/store/silentStore.test.ts
+++ b/test/actors/store/silentStore.test.ts
@@ -7,7 +7,7 @@
 import { success } from '../../../src/base/common/resultCode.ts'
 import type { KeyedLog, KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
 import type { Peers } from '../../../src/ports/common/peers.ts'
-import { quietMetrics } from '../../support/fakeHost.ts'
+import { noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
@@ -52,7 +52,7 @@
       }
     }
     reach = new StoreReachability(clock, async () => (await direct.newest('~')).ok)
-    relayedLog = new RelayedKeyedLog({ peers, helpers: () => ['one'], reach, metrics: quietMetrics }, direct, 't')
+    relayedLog = new RelayedKeyedLog({ peers, helpers: () => ['one'], reach, metrics: noopMetrics }, direct, 't')
   })
   afterEach(() => { reach.dispose() })
 
--- a/test/actors/store/store.test.ts
+++ b/test/actors/store/store.test.ts
@@ -10,8 +10,8 @@
 import { failure, success } from '../../../src/base/common/resultCode.ts'
 import type { KeyedEntry, KeyedLog } from '../../../src/ports/common/keyedLog.ts'
 import type { PeerMethod, PeerMethods, Peers } from '../../../src/ports/common/peers.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
 const noEvent = (): Disposable => toDisposable(() => undefined)
@@ -39,7 +39,7 @@
     log = new MemoryKeyedLog()
     receivedKeys = []
     const take = (entries: readonly KeyedEntry[]): void => { receivedKeys.push(...entries.map(({ key }) => key)) }
-    tail = new KeyedTail({ log: delayedReads(), clock, metrics: quietMetrics, stateLog: quietLog, onRegained: noEvent }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: (entries) => { receivedKeys.push('reset'); take(entries) }, apply: take })
+    tail = new KeyedTail({ log: delayedReads(), clock, metrics: noopMetrics, stateLog: noopStateLog, onRegained: noEvent }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: (entries) => { receivedKeys.push('reset'); take(entries) }, apply: take })
   })
   afterEach(() => { tail.dispose() })
 
@@ -84,7 +84,7 @@
     const regains = new Emitter<void>()
     let reads = 0
     const countingLog: KeyedLog = { ...delayedReads(), read: async (from, waitMs) => { reads++; return log.down ? failure('logUnavailable', 'away') : await delayedReads().read(from, waitMs) } }
-    const followingTail = new KeyedTail({ log: countingLog, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: regains.event }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: () => undefined, apply: (entries) => { receivedKeys.push(...entries.map(({ key }) => key)) } })
+    const followingTail = new KeyedTail({ log: countingLog, clock, metrics: noopMetrics, stateLog: noopStateLog, onRegained: regains.event }, { name: 't', longPollMs: 1000, pauseMs: () => 0 }, { reset: () => undefined, apply: (entries) => { receivedKeys.push(...entries.map(({ key }) => key)) } })
     followingTail.start()
     await clock.advance(50)
     log.down = true
@@ -124,7 +124,7 @@
         }
       }
     }
-    const followingTail = new KeyedTail({ log: failingLog, clock, metrics: quietMetrics, stateLog: quietLog, onRegained: regains.event }, { name: 't', longPollMs: 100, pauseMs: () => 0 }, { reset: () => undefined, apply: () => undefined })
+    const followingTail = new KeyedTail({ log: failingLog, clock, metrics: noopMetrics, stateLog: noopStateLog, onRegained: regains.event }, { name: 't', longPollMs: 100, pauseMs: () => 0 }, { reset: () => undefined, apply: () => undefined })
     followingTail.start()
     await clock.advance(100)
     mode = 'fails'
@@ -165,7 +165,7 @@
 
   beforeEach(() => {
     log = new MemoryKeyedLog()
-    appender = new GroupAppender({ log, clock, chance: seededChance(1), metrics: quietMetrics }, { maxCallCharacters: 100 })
+    appender = new GroupAppender({ log, clock, chance: newSeededChance(1), metrics: noopMetrics }, { maxCallCharacters: 100 })
   })
 
   const append = (name: string, timeoutMs = 1000): ReturnType<GroupAppender['append']> => appender.append((nonce) => [record(`${name}/${nonce}`)], timeoutMs)
@@ -238,7 +238,7 @@
     helpers = ['one', 'two', 'three']
     helperIsSilent = false
     reachability = new StoreReachability(clock, async () => !direct.down)
-    relayedLog = new RelayedKeyedLog({ peers, helpers: () => helpers, reach: reachability, metrics: quietMetrics }, direct, 't')
+    relayedLog = new RelayedKeyedLog({ peers, helpers: () => helpers, reach: reachability, metrics: noopMetrics }, direct, 't')
   })
 
   it('calls no other host while the store answers', async () => {
--- a/test/actors/targets/leaseHolder.test.ts
+++ b/test/actors/targets/leaseHolder.test.ts
@@ -9,8 +9,8 @@
 import type { FoldState } from '../../../src/core/common/fold/fold.ts'
 import { emptyState } from '../../../src/core/common/fold/fold.ts'
 import type { ControlRecord } from '../../../src/core/common/fold/records.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { fold } from '../../support/records.ts'
 
 const shard = 'drafter@Abdali' as ShardKey
@@ -30,9 +30,9 @@
       }
     },
     clock,
-    chance: seededChance(seed),
-    metrics: quietMetrics,
-    stateLog: quietLog
+    chance: newSeededChance(seed),
+    metrics: noopMetrics,
+    stateLog: noopStateLog
   }, settings, asHostId(name) as HostId, shard)
   return { clock, state, holder }
 }
--- a/test/actors/usage/usageMeter.test.ts
+++ b/test/actors/usage/usageMeter.test.ts
@@ -2,7 +2,7 @@
 import { UsageMeter } from '../../../src/actors/common/usage/usageMeter.ts'
 import { asHostId, asWorkspaceName } from '../../../src/base/common/ids.ts'
 import { UsageFold } from '../../../src/core/common/usage/usageFold.ts'
-import { quietLog } from '../../support/fakeHost.ts'
+import { noopStateLog } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
@@ -12,7 +12,7 @@
 function createFixture (hosts = 12): { clock: ManualClock, log: MemoryKeyedLog, meter: UsageMeter, total: (window: number) => number } {
   const clock = new ManualClock()
   const log = new MemoryKeyedLog()
-  const meter = new UsageMeter({ log, clock, stateLog: quietLog, host: asHostId('machine/life'), hosts: () => hosts }, { windowMs: WINDOW_MS })
+  const meter = new UsageMeter({ log, clock, stateLog: noopStateLog, host: asHostId('machine/life'), hosts: () => hosts }, { windowMs: WINDOW_MS })
   const total = (window: number): number => {
     const fold = new UsageFold()
     fold.apply(log.entries)
@@ -38,7 +38,7 @@
     log.delayAppends = 1
     meter.recordStart(acme, 0)
     await clock.advance(5000)
-    log.land()
+    log.applyDelayedAppends()
     meter.recordStart(acme, WINDOW_MS)
     await clock.advance(1250)
     expect([total(200), meter.backlog]).to.deep.equal([3, 0])
--- a/test/actors/usage/usageReporter.test.ts
+++ b/test/actors/usage/usageReporter.test.ts
@@ -7,10 +7,10 @@
 import { Emitter } from '../../../src/base/common/lifecycle.ts'
 import type { SealedWindow } from '../../../src/core/common/usage/usageFold.ts'
 import { countsRecord } from '../../../src/core/common/usage/usageRecords.ts'
-import type { Chance } from '../../../src/ports/common/clock.ts'
+import type { RandomSource } from '../../../src/ports/common/clock.ts'
 import type { DutyHolder, DutyVerdict } from '../../../src/ports/common/platformDuties.ts'
-import { quietLog } from '../../support/fakeHost.ts'
-import { ManualClock, seededChance } from '../../support/manualClock.ts'
+import { noopStateLog } from '../../support/fakeHost.ts'
+import { ManualClock, newSeededChance } from '../../support/manualClock.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
 
 const times = { windowMs: 5000, dueMs: 10_000 }
@@ -68,12 +68,12 @@
   private term = 0
   private sequence = 0
 
-  constructor (private readonly chance: Chance = seededChance(1)) {}
+  constructor (private readonly chance: RandomSource = newSeededChance(1)) {}
 
   join (machine: string, skewMs = 0): Member {
     const duty = new Duty()
     const clock = { monotonic: () => this.clock.monotonic(), wall: () => this.clock.wall() + skewMs, after: this.clock.after.bind(this.clock), every: this.clock.every.bind(this.clock) }
-    const reporter = new UsageReporter({ duty, log: this.log, duties: this.platform, clock, chance: this.chance, stateLog: quietLog, machine }, times)
+    const reporter = new UsageReporter({ duty, log: this.log, duties: this.platform, clock, chance: this.chance, stateLog: noopStateLog, machine }, times)
     return { duty, reporter }
   }
 
@@ -172,7 +172,7 @@
     scene.acquireDuty(present)
     scene.count(4)
     await scene.clock.advance(15_000)
-    scene.log.land()
+    scene.log.applyDelayedAppends()
     const reloadingMember = scene.join('m3')
     scene.log.first = scene.log.entries.length
     scene.releaseDuty(present)
@@ -186,7 +186,7 @@
     const cases = Number(process.env['CASES'] ?? 60)
     const from = Number(process.env['SEED'] ?? 1)
     for (let seed = from; seed < from + cases; seed++) {
-      const chance = seededChance(seed)
+      const chance = newSeededChance(seed)
       const scene = new Scene(chance)
       const draw = (below: number): number => Math.floor(chance.next() * below)
       let members = [0, 1, 2].map((index) => scene.join(`m${index}`, draw(4000) - 2000))
@@ -202,7 +202,7 @@
           case 4: scene.log.down = draw(3) === 0; break
           case 5: scene.log.loseAnswers = draw(3); break
           case 6: scene.log.delayAppends = draw(2); break
-          case 7: scene.log.land(); break
+          case 7: scene.log.applyDelayedAppends(); break
           case 8: {
             const ended = pick()
             scene.releaseDuty(ended)
@@ -213,7 +213,7 @@
         }
         await scene.clock.advance(100 + draw(1500))
       }
-      scene.log.land()
+      scene.log.applyDelayedAppends()
       expect({ seed, doubles: scene.platform.conflictingWindows }).to.deep.equal({ seed, doubles: [] })
       for (const { reporter } of members) reporter.dispose()
     }
--- a/test/actors/weights/weightLoadController.test.ts
+++ b/test/actors/weights/weightLoadController.test.ts
@@ -12,9 +12,9 @@
 import { RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import type { TargetClient, TargetRequest } from '../../../src/ports/common/targetClient.ts'
 import { targetProtocol } from '../../../platform/index.ts'
-import { quietLog, quietMetrics } from '../../support/fakeHost.ts'
+import { noopStateLog, noopMetrics } from '../../support/fakeHost.ts'
 import { ManualClock } from '../../support/manualClock.ts'
-import { targetDefinition } from '../../support/routes.ts'
+import { newTargetDefinition } from '../../support/routes.ts'
 
 /** An engine that records the orders that it accepted. */
 class FakeEngine {
@@ -82,8 +82,8 @@
     clock = new ManualClock()
     engines = new Map(Array.from({ length: count }, (_, index) => [`e${index}`, new FakeEngine(clock)]))
     silentEngines = new Set()
-    table = new TargetTable({ clock, stateLog: quietLog })
-    for (const id of engines.keys()) table.set(targetDefinition({ id, service: 'engines', address: id, models: [{ model: 'm', version: 1 }] }))
+    table = new TargetTable({ clock, stateLog: noopStateLog })
+    for (const id of engines.keys()) table.set(newTargetDefinition({ id, service: 'engines', address: id, models: [{ model: 'm', version: 1 }] }))
     const routes = new RouteTable({ version: 1, routes: [], services: [{ name: 'engines', maximumConnections: 9, engine: { slots: 4, models: ['m'] } }], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } })
     const client: TargetClient = {
       exchange: async (request) => {
@@ -101,13 +101,13 @@
         return failure('unknownOutcome', 'no answer')
       },
       open: async () => failure('targetUnreachable', 'not used'),
-      distrust: (address) => { silentEngines.delete(address) },
+      retireConnections: (address) => { silentEngines.delete(address) },
       listens: async () => 'yes'
     }
     demand = { model: 'm', namedVersion: 2, namedAgeMs: 0, minimumVersion: 1, waiting: 0, work: 1, mode: 'keep-running' }
     isExclusive = true
     dutyChanges = new Emitter()
-    orders = new WeightLoadController({ board: new EngineRegistry(table, clock, () => routes), duty: { get alone () { return isExclusive }, get holds () { return isExclusive }, term: 5, onChange: dutyChanges.event }, client, protocol: targetProtocol, clock, metrics: quietMetrics, stateLog: quietLog, machine: 'h', demands: () => [demand], onEngineAvailable: () => undefined, mechanisms: allMechanisms })
+    orders = new WeightLoadController({ board: new EngineRegistry(table, clock, () => routes), duty: { get alone () { return isExclusive }, get holds () { return isExclusive }, term: 5, onChange: dutyChanges.event }, client, protocol: targetProtocol, clock, metrics: noopMetrics, stateLog: noopStateLog, machine: 'h', demands: () => [demand], onEngineAvailable: () => undefined, mechanisms: allMechanisms })
     dutyChanges.fire()
   }
   afterEach(() => { orders.dispose() })
@@ -198,7 +198,7 @@
     for (const toldBy of ['entry', 'report']) {
       start(1)
       const engine = engines.get('e0')
-      const enter = (born: number): void => { table.set(targetDefinition({ id: 'e0', incarnation: asIncarnation(born), service: 'engines', address: 'e0', models: [{ model: 'm', version: 1 }] })) }
+      const enter = (born: number): void => { table.set(newTargetDefinition({ id: 'e0', incarnation: asIncarnation(born), service: 'engines', address: 'e0', models: [{ model: 'm', version: 1 }] })) }
       engine?.restart(1, 1)
       enter(1)
       await clock.advance(400)
--- a/test/adapters/answerEndings.test.ts
+++ b/test/adapters/answerEndings.test.ts
@@ -1,32 +1,32 @@
-/** Answers of targets that end in every way, read whole and as streams. */
+/** Property-based tests of target responses that end in different ways, read completely and as streams. */
 
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { Connections } from '../../src/adapters/node/connections.ts'
+import { ConnectionPools } from '../../src/adapters/node/connectionPools.ts'
 import { HttpTargetClient } from '../../src/adapters/node/httpTargetClient.ts'
 import type { TargetRequest } from '../../src/ports/common/targetClient.ts'
 import { pause } from '../../standins/httpStandIn.ts'
-import type { AnswerCase, EndingCase, Told } from '../support/answerEndings.ts'
-import { endingCases, play } from '../support/answerEndings.ts'
+import type { AnswerCase, EndingCase, ReceivedAnswer } from '../support/answerEndings.ts'
+import { endingCases, runCase } from '../support/answerEndings.ts'
 
-const settings = { connections: 8, connectTimeoutMs: 500, silenceMs: 3000, maximumAnswerBytes: 10_000_000 }
-/** More cases, or others, are drawn by hand. */
+const settings = { connections: 8, connectTimeoutMs: 500, inactivityTimeoutMs: 3000, maximumAnswerBytes: 10_000_000 }
+/** The environment variables select more or different cases in manual runs. */
 const CASES = Number(process.env.CASES ?? 60)
 const SEED = Number(process.env.SEED ?? 11)
 
-describe('answers that end in every way', () => {
-  /** What is wrong with what a client told of the answers of a case. */
-  async function told (endings: EndingCase): Promise<string[]> {
-    const connections = new Connections(settings)
+describe('responses that end in different ways', () => {
+  /** Returns the mismatches between the responses of a case and what a client reports of them. */
+  async function findMismatches (endings: EndingCase): Promise<string[]> {
+    const connections = new ConnectionPools(settings)
     const client = new HttpTargetClient(connections, settings)
     try {
-      return await play(endings, async (...details) => await read(client, ...details))
+      return await runCase(endings, async (...details) => await readResponse(client, ...details))
     } finally {
       connections.dispose()
     }
   }
 
-  async function read (client: HttpTargetClient, address: string, path: string, { ownConnection, way, pausesMs }: AnswerCase): Promise<Told> {
+  async function readResponse (client: HttpTargetClient, address: string, path: string, { isNewConnection: ownConnection, way, readerPausesMs: pausesMs }: AnswerCase): Promise<ReceivedAnswer> {
     const request: TargetRequest = { address, method: 'GET', path, headers: [], body: undefined, ownConnection, signal: AbortSignal.timeout(8000) }
     if (way === 'whole') {
       const answer = await client.exchange(request)
@@ -48,17 +48,17 @@
     return { bytes: Buffer.concat(pieces), whole }
   }
 
-  it('are told to their end to a reader that pauses over it', async () => {
-    // Guards against an exception out of the library's parser, which is still paused over the last bytes when the end of the connection comes.
-    const answers = [[60_000, 10_000], [65_536, 65_536, 10_240], [40_000, 30_000, 1]].map((partBytes): AnswerCase => ({ framing: 'none', closing: true, partBytes, gapMs: 3, ending: 'end', ownConnection: true, way: 'stream', pausesMs: [20] }))
-    expect(await told({ answers, busyMs: 0 })).to.deep.equal([])
+  it('are delivered completely to a reader that pauses before the end', async () => {
+    // Guards against an exception in the library's parser, which is still paused over the last bytes when the connection ends.
+    const answers = [[60_000, 10_000], [65_536, 65_536, 10_240], [40_000, 30_000, 1]].map((partBytes): AnswerCase => ({ framing: 'none', closing: true, partBytes, partDelayMs: 3, ending: 'end', isNewConnection: true, way: 'stream', readerPausesMs: [20] }))
+    expect(await findMismatches({ answers, busyMs: 0 })).to.deep.equal([])
   })
 
-  it('are told whole if and only if they are, and end no process', async function () {
-    // Guards against cut answers that pass for whole ones, whole ones that are lost, and errors outside of any call.
+  it('are reported as complete if and only if they are, and never crash the process', async function () {
+    // Guards against truncated responses that are reported as complete, complete ones that are lost, and errors thrown outside of any call.
     this.timeout(CASES * 1000)
     await fc.assert(fc.asyncProperty(endingCases, async (endings) => {
-      expect(await told(endings)).to.deep.equal([])
+      expect(await findMismatches(endings)).to.deep.equal([])
     }), { seed: SEED, numRuns: CASES, endOnFailure: true })
   })
 })
--- a/test/adapters/endsOfTargets.test.ts
+++ b/test/adapters/crashDetection.test.ts
@@ -1,18 +1,18 @@
-/** What the watch for ends of targets asks of sockets and digests. */
+/** Tests the listen probe and the request fingerprints that crash detection relies on. */
 
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
 import { expect } from 'chai'
-import { Connections } from '../../src/adapters/node/connections.ts'
+import { ConnectionPools } from '../../src/adapters/node/connectionPools.ts'
 import { HttpTargetClient } from '../../src/adapters/node/httpTargetClient.ts'
 import { sha256Fingerprints } from '../../src/adapters/node/sha256Fingerprints.ts'
 import type { RequestContent } from '../../src/ports/common/fingerprints.ts'
 
-const settings = { connections: 2, connectTimeoutMs: 500, silenceMs: 2000, maximumAnswerBytes: 10_000 }
+const settings = { connections: 2, connectTimeoutMs: 500, inactivityTimeoutMs: 2000, maximumAnswerBytes: 10_000 }
 
-describe('the question whether anybody listens', () => {
-  it('is answered by a process that listens, and refused by its address once it has ended', async () => {
-    const connections = new Connections(settings)
+describe('the listen probe', () => {
+  it('yields yes while a process listens, and no once it has ended', async () => {
+    const connections = new ConnectionPools(settings)
     const client = new HttpTargetClient(connections, settings)
     const server = createServer((socket) => { socket.resume() })
     await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
@@ -27,14 +27,14 @@
 describe('the fingerprint of a request', () => {
   const content: RequestContent = { host: 'h', method: 'POST', path: '/a/?b=1', caller: undefined, body: 'text' }
 
-  it('is the same for each repeat, also of bytes for a text', () => {
+  it('is the same for each repeat, and for a text and its bytes', () => {
     expect(sha256Fingerprints.of(content)).to.equal(sha256Fingerprints.of({ ...content, body: new TextEncoder().encode('text') }))
     expect(sha256Fingerprints.of(content)).to.match(/^[0-9a-f]{32}$/)
   })
 
-  it('differs where any part does, however the parts are cut', () => {
-    const others: Partial<RequestContent>[] = [{ host: 'i' }, { method: 'PUT' }, { path: '/a/' }, { caller: 'Token x' }, { body: 'texu' }, { body: undefined }, { host: 'hP', method: 'OST' }]
-    const prints = [content, ...others.map((other) => ({ ...content, ...other }))].map((each) => sha256Fingerprints.of(each))
-    expect(new Set(prints).size).to.equal(prints.length)
+  it('differs if any part differs, also if the parts are split differently', () => {
+    const changes: Partial<RequestContent>[] = [{ host: 'i' }, { method: 'PUT' }, { path: '/a/' }, { caller: 'Token x' }, { body: 'texu' }, { body: undefined }, { host: 'hP', method: 'OST' }]
+    const fingerprints = [content, ...changes.map((other) => ({ ...content, ...other }))].map((each) => sha256Fingerprints.of(each))
+    expect(new Set(fingerprints).size).to.equal(fingerprints.length)
   })
 })
--- a/test/adapters/neverSent.test.ts
+++ b/test/adapters/neverSent.test.ts
@@ -1,30 +1,30 @@
-/** Which errors prove that nothing was sent. */
+/** Tests which errors prove that nothing was sent. */
 
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
 import { expect } from 'chai'
 import { request } from 'undici'
-import { neverSent } from '../../src/adapters/node/connections.ts'
+import { isNeverSent } from '../../src/adapters/node/connectionPools.ts'
 
-/** An error as Node's sockets give it. */
+/** Creates an error as Node's sockets report it. */
 const systemError = (code: string, syscall: string): Error => Object.assign(new Error(`${syscall} ${code}`), { code, syscall })
 
 describe('the proof that nothing was sent', () => {
-  it('is an error of connecting', async () => {
+  it('is a connection error', async () => {
     const closed = createServer()
     await new Promise<void>((resolve) => { closed.listen(0, '127.0.0.1', resolve) })
     const { port } = closed.address() as AddressInfo
     await new Promise((resolve) => { closed.close(resolve) })
     const error: unknown = await request(`http://127.0.0.1:${port}/`, { method: 'POST', body: 'x' }).catch((caught: unknown) => caught)
-    expect(neverSent(error)).to.equal(true)
-    for (const code of ['EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']) expect(neverSent(systemError(code, 'connect'))).to.equal(true)
+    expect(isNeverSent(error)).to.equal(true)
+    for (const code of ['EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']) expect(isNeverSent(systemError(code, 'connect'))).to.equal(true)
   })
 
-  it('is not an error of a connection that had been made', () => {
-    // A router that loses its way to the other end answers packets of a connection that is in use, and its
-    // socket fails with the code of a failed connect, after the request has left.
+  it('is not an error of an established connection', () => {
+    // A router that loses its route to the peer rejects packets of an established connection. The socket then
+    // fails with the code of a failed connect, although the request has been sent.
     for (const syscall of ['read', 'write']) {
-      for (const code of ['EHOSTUNREACH', 'ENETUNREACH', 'ECONNRESET']) expect(neverSent(systemError(code, syscall)), `${syscall} ${code}`).to.equal(false)
+      for (const code of ['EHOSTUNREACH', 'ENETUNREACH', 'ECONNRESET']) expect(isNeverSent(systemError(code, syscall)), `${syscall} ${code}`).to.equal(false)
     }
   })
 })
--- a/test/adapters/resetAnswers.test.ts
+++ b/test/adapters/resetAnswers.test.ts
@@ -1,35 +1,35 @@
-/** Answers of targets that have no length and end with their connection. */
+/** Tests target responses without a length, which end with their connection. */
 
 import { expect } from 'chai'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import { createServer } from 'node:net'
-import { Connections } from '../../src/adapters/node/connections.ts'
+import { ConnectionPools } from '../../src/adapters/node/connectionPools.ts'
 import { HttpTargetClient } from '../../src/adapters/node/httpTargetClient.ts'
 import type { TargetRequest } from '../../src/ports/common/targetClient.ts'
 
-const settings = { connections: 2, connectTimeoutMs: 500, silenceMs: 2000, maximumAnswerBytes: 10_000 }
-const HEAD = 'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-type: text/plain\r\n\r\n'
+const settings = { connections: 2, connectTimeoutMs: 500, inactivityTimeoutMs: 2000, maximumAnswerBytes: 10_000 }
+const RESPONSE_HEAD = 'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-type: text/plain\r\n\r\n'
 
-describe('an answer without a length', () => {
-  // Guards against the first part of an answer that passes for a whole one, since its connection's reset is taken for its end.
+describe('a response without a length', () => {
+  // Guards against a truncated response that is reported as complete because a reset of its connection is taken for its end.
   let server: Server
-  let connections: Connections
+  let connections: ConnectionPools
   let client: HttpTargetClient
   let afterHead: (socket: Socket) => void
-  let atOnce: boolean
+  let runsImmediately: boolean
 
   beforeEach(async () => {
-    atOnce = false
+    runsImmediately = false
     server = createServer((socket) => {
       socket.on('error', () => undefined)
       socket.once('data', () => {
-        socket.write(`${HEAD}first part`)
-        if (atOnce) afterHead(socket)
+        socket.write(`${RESPONSE_HEAD}first part`)
+        if (runsImmediately) afterHead(socket)
         else setTimeout(() => { afterHead(socket) }, 30)
       })
     })
     await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
-    connections = new Connections(settings)
+    connections = new ConnectionPools(settings)
     client = new HttpTargetClient(connections, settings)
   })
   afterEach(async () => {
@@ -42,38 +42,38 @@
   })
 
   for (const ownConnection of [false, true]) {
-    const way = ownConnection ? 'a connection of its own' : 'a kept connection'
+    const connectionKind = ownConnection ? 'a dedicated connection' : 'a pooled connection'
 
-    it(`is whole if its connection ends, over ${way}`, async () => {
+    it(`is complete if its connection ends, over ${connectionKind}`, async () => {
       afterHead = (socket) => { socket.end(' and the rest') }
       const answer = await client.exchange(request(ownConnection))
       expect(answer.ok && new TextDecoder().decode(answer.value.body)).to.equal('first part and the rest')
     })
 
-    it(`is none if its connection is reset, over ${way}`, async () => {
+    it(`fails if its connection is reset, over ${connectionKind}`, async () => {
       afterHead = (socket) => { socket.resetAndDestroy() }
       expect(await client.exchange(request(ownConnection))).to.deep.include({ ok: false, code: 'unknownOutcome' })
     })
 
-    it(`is none if its connection is reset together with what it has sent, over ${way}`, async () => {
-      // Guards against a reset that is told as an end because it is there together with the last bytes (garble-unframed, varied, seed 895258712195).
-      atOnce = true
+    it(`fails if its connection is reset together with the last bytes, over ${connectionKind}`, async () => {
+      // Guards against a reset that is reported as an end because it arrives together with the last bytes (found with seed 895258712195).
+      runsImmediately = true
       afterHead = (socket) => { socket.resetAndDestroy() }
       expect(await client.exchange(request(ownConnection))).to.deep.include({ ok: false, code: 'unknownOutcome' })
     })
 
-    it(`is no whole stream if its connection is reset, over ${way}`, async () => {
+    it(`is a broken stream if its connection is reset, over ${connectionKind}`, async () => {
       afterHead = (socket) => { socket.resetAndDestroy() }
       const stream = await client.open(request(ownConnection))
       if (!stream.ok) throw new Error(stream.message)
       let text = ''
-      let broke = false
+      let isBroken = false
       try {
         for await (const piece of stream.value.pieces) text += new TextDecoder().decode(piece)
       } catch {
-        broke = true
+        isBroken = true
       }
-      expect([text, broke]).to.deep.equal(['first part', true])
+      expect([text, isBroken]).to.deep.equal(['first part', true])
     })
   }
 })
--- a/test/adapters/silentConnections.test.ts
+++ b/test/adapters/silentConnections.test.ts
@@ -1,117 +1,117 @@
-/** Service over connections to targets that go silent while new ones work, on real sockets. */
+/** Tests calls over connections to targets that stop delivering data while new ones work, on real sockets. */
 
 import { expect } from 'chai'
 import { pause } from '../../standins/httpStandIn.ts'
-import { SilentScene, lookUp, scoring, shareWithin, streaming } from '../support/silentScene.ts'
+import { SilentConnectionHarness, lookUpRoute, scoringRoute, fractionAnsweredWithin, streamingRoute } from '../support/silentConnectionHarness.ts'
 
-describe('calls over connections that go silent', function () {
+describe('calls over connections that stop delivering data', function () {
   this.timeout(30_000)
-  let scene: SilentScene
+  let scene: SilentConnectionHarness
 
   beforeEach(async () => {
-    scene = await SilentScene.start(10, 2)
-    await scene.warm()
+    scene = await SilentConnectionHarness.start(10, 2)
+    await scene.openConnections()
   })
   afterEach(async () => { await scene.close() })
 
   /*
-   * Service fell to a tenth while kept connections were silent, though new ones worked at once. Each
-   * host sends few calls, and each call met the next silent connection, at its second target too: a
-   * pool of connections was put aside for bad answers only, never for silence.
+   * Guards against a drop of throughput to a tenth while reused connections are silent and new ones work.
+   * Each host sends few calls, and each call met another silent connection, also at its second target: a
+   * connection pool was retired only after invalid responses, never after a time-out.
    */
-  it('are answered within their objective, as new connections work', async () => {
-    for (const cutter of scene.cutters) cutter.silenceOpen()
-    scene.mostWaiting = 0
-    scene.secondSends = 0
-    const ends = await scene.steady(lookUp, 25, 2000)
-    const figures = `of ${ends.length} calls ${shareWithin(ends, lookUp.objectiveMs).toFixed(2)} within the objective, ${shareWithin(ends, lookUp.timeoutMs).toFixed(2)} answered, at most ${scene.mostWaiting} waiting, ${scene.secondSends} sent once more`
-    expect(shareWithin(ends, lookUp.timeoutMs), figures).to.equal(1)
-    expect(shareWithin(ends, lookUp.objectiveMs * 1.2), figures).to.be.at.least(0.95)
-    expect(scene.mostWaiting, figures).to.be.at.most(12)
-    // Each host finds each pool silent once, at most.
-    expect(scene.secondSends, figures).to.be.at.most(scene.hosts.length * scene.cutters.length + ends.length / 20)
-    expect(scene.slotsHeld, figures).to.equal(0)
+  it('are answered within their objective over new connections', async () => {
+    for (const cutter of scene.forwarders) cutter.silenceOpenConnections()
+    scene.maxWaiting = 0
+    scene.hedgeCount = 0
+    const ends = await scene.callAtConstantRate(lookUpRoute, 25, 2000)
+    const figures = `of ${ends.length} calls ${fractionAnsweredWithin(ends, lookUpRoute.objectiveMs).toFixed(2)} within the objective, ${fractionAnsweredWithin(ends, lookUpRoute.timeoutMs).toFixed(2)} answered, at most ${scene.maxWaiting} waiting, ${scene.hedgeCount} sent once more`
+    expect(fractionAnsweredWithin(ends, lookUpRoute.timeoutMs), figures).to.equal(1)
+    expect(fractionAnsweredWithin(ends, lookUpRoute.objectiveMs * 1.2), figures).to.be.at.least(0.95)
+    expect(scene.maxWaiting, figures).to.be.at.most(12)
+    // Each host detects each silent pool at most once.
+    expect(scene.hedgeCount, figures).to.be.at.most(scene.hosts.length * scene.forwarders.length + ends.length / 20)
+    expect(scene.inFlightCount, figures).to.equal(0)
   })
 
   /*
-   * Calls to scorers had no second target and waited for the timeout of their route on a silent
-   * connection. They held all the slots that a host leaves to them, so no other sample was scored.
+   * Guards against a stall of scoring: calls to scorers had no second target and waited on a silent connection
+   * for the time-out of their route. They occupied all slots that a host allots to them, so no other sample was scored.
    */
-  it('of the background are not held for the timeout of their route', async () => {
-    const warmed = await scene.background(0, 10, 500)
-    expect(shareWithin(warmed, scoring.objectiveMs)).to.equal(1)
-    for (const cutter of scene.cutters) cutter.silenceOpen()
-    const ends = await scene.background(0, 10, 3000)
+  it('do not wait for the time-out of their route if they are background calls', async () => {
+    const warmed = await scene.runBackgroundCalls(0, 10, 500)
+    expect(fractionAnsweredWithin(warmed, scoringRoute.objectiveMs)).to.equal(1)
+    for (const cutter of scene.forwarders) cutter.silenceOpenConnections()
+    const ends = await scene.runBackgroundCalls(0, 10, 3000)
     const longest = Math.max(...ends.map(({ tookMs }) => tookMs))
-    const figures = `${ends.length} calls, ${shareWithin(ends, scoring.timeoutMs).toFixed(2)} answered, the longest took ${Math.round(longest)} ms`
-    expect(shareWithin(ends, scoring.timeoutMs), figures).to.equal(1)
-    expect(longest, figures).to.be.below(scoring.objectiveMs * 2)
+    const figures = `${ends.length} calls, ${fractionAnsweredWithin(ends, scoringRoute.timeoutMs).toFixed(2)} answered, the longest took ${Math.round(longest)} ms`
+    expect(fractionAnsweredWithin(ends, scoringRoute.timeoutMs), figures).to.equal(1)
+    expect(longest, figures).to.be.below(scoringRoute.objectiveMs * 2)
     expect(ends.length, figures).to.be.at.least(120)
-    expect(scene.slotsHeld, figures).to.equal(0)
+    expect(scene.inFlightCount, figures).to.equal(0)
   })
 
   /*
-   * After a silence that held new connections too, calls met connections and slots that had been
-   * taken in it, for as long as these were waited for.
+   * Guards against a slow recovery after a silence that also affected new connections: calls met connections and
+   * slots occupied during the silence until their time-outs expired.
    */
-  it('are answered again at once after a silence that held new connections too', async () => {
-    for (const cutter of scene.cutters) cutter.silenceAll()
-    const during = scene.steady(lookUp, 100, 2000)
+  it('are answered again immediately after a silence that also affected new connections', async () => {
+    for (const cutter of scene.forwarders) cutter.silenceAll()
+    const during = scene.callAtConstantRate(lookUpRoute, 100, 2000)
     await pause(2000)
-    for (const cutter of scene.cutters) cutter.heal()
-    const after = await scene.steady(lookUp, 25, 1500)
-    const figures = `of ${after.length} calls after the end ${shareWithin(after, lookUp.objectiveMs).toFixed(2)} within the objective, ${shareWithin(after, lookUp.timeoutMs).toFixed(2)} answered`
-    expect(shareWithin(after, lookUp.timeoutMs), figures).to.equal(1)
-    expect(shareWithin(after, lookUp.objectiveMs * 1.2), figures).to.be.at.least(0.95)
+    for (const cutter of scene.forwarders) cutter.restore()
+    const after = await scene.callAtConstantRate(lookUpRoute, 25, 1500)
+    const figures = `of ${after.length} calls after the end ${fractionAnsweredWithin(after, lookUpRoute.objectiveMs).toFixed(2)} within the objective, ${fractionAnsweredWithin(after, lookUpRoute.timeoutMs).toFixed(2)} answered`
+    expect(fractionAnsweredWithin(after, lookUpRoute.timeoutMs), figures).to.equal(1)
+    expect(fractionAnsweredWithin(after, lookUpRoute.objectiveMs * 1.2), figures).to.be.at.least(0.95)
     await during
-    expect(scene.slotsHeld, figures).to.equal(0)
+    expect(scene.inFlightCount, figures).to.equal(0)
   })
 
   /*
-   * A stream that met a silent connection went on at another target over a silent one too, and came to
-   * nothing; both targets counted as failed.
+   * Guards against a stream that fails because it met a silent connection and then resumed at another target, also over
+   * a silent connection. Both targets then counted as failed.
    */
-  it('are streamed whole by the second target', async () => {
-    for (const cutter of scene.cutters) cutter.silenceOpen()
+  it('are streamed completely by the second target', async () => {
+    for (const cutter of scene.forwarders) cutter.silenceOpenConnections()
     const ends = await Promise.all(scene.hosts.map(async (_, host) => await scene.stream(host)))
     const longest = Math.max(...ends.map(({ tookMs }) => tookMs))
-    const figures = `${shareWithin(ends, streaming.timeoutMs).toFixed(2)} of ${ends.length} streams whole, the longest took ${Math.round(longest)} ms`
-    expect(shareWithin(ends, 2000), figures).to.equal(1)
+    const figures = `${fractionAnsweredWithin(ends, streamingRoute.timeoutMs).toFixed(2)} of ${ends.length} streams whole, the longest took ${Math.round(longest)} ms`
+    expect(fractionAnsweredWithin(ends, 2000), figures).to.equal(1)
     expect(scene.hosts.flatMap(({ table }) => table.available('s')).filter(({ suspect }) => suspect), figures).to.have.length(0)
   })
 
-  /* What must not run twice goes over a connection of its own, and nowhere else when that is silent. */
-  it('reach targets once where they must not be repeated', async () => {
-    scene.arrivals.clear()
-    for (const cutter of scene.cutters) cutter.silenceOpen()
-    const once = { ...lookUp, kind: 'once-only' as const }
-    const ends = await scene.steady(once, 25, 500)
-    expect(shareWithin(ends, lookUp.objectiveMs)).to.be.at.least(0.95)
-    expect([...scene.arrivals.values()].filter((count) => count !== 1)).to.deep.equal([])
-    expect(scene.arrivals.size).to.equal(ends.length)
+  /* A call that must not run twice uses a dedicated connection, and is not sent again if that connection is silent. */
+  it('reach targets once if they must not be repeated', async () => {
+    scene.arrivalCounts.clear()
+    for (const cutter of scene.forwarders) cutter.silenceOpenConnections()
+    const once = { ...lookUpRoute, kind: 'once-only' as const }
+    const ends = await scene.callAtConstantRate(once, 25, 500)
+    expect(fractionAnsweredWithin(ends, lookUpRoute.objectiveMs)).to.be.at.least(0.95)
+    expect([...scene.arrivalCounts.values()].filter((count) => count !== 1)).to.deep.equal([])
+    expect(scene.arrivalCounts.size).to.equal(ends.length)
   })
 
-  it('are sent once, over the connections that are there, in calm times', async () => {
-    scene.secondSends = 0
-    scene.arrivals.clear()
-    const made = scene.connectionsMade
-    const ends = await scene.steady(lookUp, 25, 1500)
-    expect(shareWithin(ends, lookUp.objectiveMs)).to.be.at.least(0.95)
-    expect(scene.secondSends).to.be.at.most(ends.length / 20)
-    expect(scene.connectionsMade - made).to.be.at.most(ends.length / 20)
+  it('are sent once, over existing connections, if there are no faults', async () => {
+    scene.hedgeCount = 0
+    scene.arrivalCounts.clear()
+    const made = scene.connectionCount
+    const ends = await scene.callAtConstantRate(lookUpRoute, 25, 1500)
+    expect(fractionAnsweredWithin(ends, lookUpRoute.objectiveMs)).to.be.at.least(0.95)
+    expect(scene.hedgeCount).to.be.at.most(ends.length / 20)
+    expect(scene.connectionCount - made).to.be.at.most(ends.length / 20)
   })
 
   /*
-   * A target that was slow cost many new connections: with each late request all kept connections to it
-   * and to the second target were given up, though answers kept coming over them.
+   * Guards against many new connections because of a slow target: each late request retired all pooled connections to it
+   * and to the second target, although responses kept arriving over them.
    */
-  it('cost few new connections while a target is slow and answers others', async () => {
-    await scene.background(0, 10, 500)
+  it('open few new connections while a target is slow but still responds', async () => {
+    await scene.runBackgroundCalls(0, 10, 500)
     scene.slowness = 6
-    const made = scene.connectionsMade
-    const ends = await scene.background(0, 10, 4000)
-    const figures = `${scene.connectionsMade - made} connections for ${ends.length} calls, ${scene.secondSends} sent once more`
-    expect(shareWithin(ends, scoring.timeoutMs), figures).to.equal(1)
-    expect(scene.connectionsMade - made, figures).to.be.at.most(ends.length / 20)
+    const made = scene.connectionCount
+    const ends = await scene.runBackgroundCalls(0, 10, 4000)
+    const figures = `${scene.connectionCount - made} connections for ${ends.length} calls, ${scene.hedgeCount} sent once more`
+    expect(fractionAnsweredWithin(ends, scoringRoute.timeoutMs), figures).to.equal(1)
+    expect(scene.connectionCount - made, figures).to.be.at.most(ends.length / 20)
   })
 })
--- a/test/base/references.test.ts
+++ b/test/base/references.test.ts
@@ -1,4 +1,4 @@
-/** The reference pages say what the program does. */
+/** Tests that the generated reference pages are up to date. */
 
 import { readFileSync } from 'node:fs'
 import { expect } from 'chai'
@@ -6,23 +6,23 @@
 import { logsPage, metricsPage, resultCodesPage, settingsPage } from '../../tools/references.ts'
 
 describe('the reference pages', () => {
-  it('list the result codes as they are', () => {
+  it('list the current result codes', () => {
     expect(readFileSync('docs/RESULT-CODES.md', 'utf8')).to.equal(resultCodesPage())
   })
 
-  it('list the settings as they are', () => {
+  it('list the current settings', () => {
     expect(readFileSync('docs/SETTINGS.md', 'utf8')).to.equal(settingsPage())
   })
 
-  it('list the log lines as they are', () => {
+  it('list the current log events', () => {
     expect(readFileSync('docs/LOGS.md', 'utf8')).to.equal(logsPage())
   })
 
-  it('list the counters as they are', () => {
+  it('list the current metrics', () => {
     expect(readFileSync('docs/METRICS.md', 'utf8')).to.equal(metricsPage())
   })
 
-  it('give each code a number of its own, in the hundred of its effect', () => {
+  it('assign each code a unique number, in the range of its effect', () => {
     const entries = Object.values(resultCodes)
     expect(new Set(entries.map(({ number }) => number)).size).to.equal(entries.length)
     for (const { number, effect } of entries) {
--- a/test/commandLine/operatorClient.test.ts
+++ b/test/commandLine/operatorClient.test.ts
@@ -1,4 +1,4 @@
-/** Statements sent to hosts that answer badly or not at all. */
+/** Statements sent to hosts that answer incorrectly or not at all. */
 
 import { expect } from 'chai'
 import type { AddressInfo, Server, Socket } from 'node:net'
@@ -7,11 +7,11 @@
 
 const ACCEPTED = '{"type":"accepted","revision":7,"id":"c-1"}'
 
-describe('a statement of an operator', () => {
+describe('an operator statement', () => {
   const servers: Server[] = []
 
-  /** A host that reads a request and does something. */
-  async function host (answer: (socket: Socket) => void): Promise<string> {
+  /** Starts a host that reads a request and then calls `answer`. */
+  async function startHost (answer: (socket: Socket) => void): Promise<string> {
     const server = createServer((socket) => {
       socket.on('error', () => undefined)
       socket.once('data', () => { answer(socket) })
@@ -21,12 +21,12 @@
     return `http://127.0.0.1:${(server.address() as AddressInfo).port}`
   }
 
-  const resets = (socket: Socket): void => { socket.resetAndDestroy() }
-  const breaksOff = (socket: Socket): void => {
+  const resetConnection = (socket: Socket): void => { socket.resetAndDestroy() }
+  const truncateResponse = (socket: Socket): void => {
     socket.write(`HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n${ACCEPTED.slice(0, 20)}`)
     socket.resetAndDestroy()
   }
-  const accepts = (socket: Socket): void => { socket.end(`HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n${ACCEPTED}`) }
+  const sendAccepted = (socket: Socket): void => { socket.end(`HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n${ACCEPTED}`) }
 
   async function send (...hosts: string[]): Promise<string> {
     const outcome = await sendStatement({ hosts, key: 'k', statement: 'remove pool drafter', id: 'c-1', wait: false, timeoutMs: 500 })
@@ -36,21 +36,21 @@
 
   afterEach(() => { for (const server of servers.splice(0)) server.close() })
 
-  const nobody = 'http://127.0.0.1:1'
+  const UNREACHABLE_HOST = 'http://127.0.0.1:1'
 
-  it('is not said to be not run once a host may have run it', async () => {
-    // Guards against an operator who takes a command for not run that is in force.
-    expect(await send(await host(resets))).to.equal('unknownOutcome with its id')
-    expect(await send(await host(breaksOff))).to.equal('unknownOutcome with its id')
-    expect(await send(await host(() => undefined))).to.equal('unknownOutcome with its id')
-    expect(await send(await host(resets), nobody)).to.equal('unknownOutcome with its id')
+  it('has an unknown outcome once a host may have executed it', async () => {
+    // Guards against an operator assuming that a command was not executed although it is in force.
+    expect(await send(await startHost(resetConnection))).to.equal('unknownOutcome with its id')
+    expect(await send(await startHost(truncateResponse))).to.equal('unknownOutcome with its id')
+    expect(await send(await startHost(() => undefined))).to.equal('unknownOutcome with its id')
+    expect(await send(await startHost(resetConnection), UNREACHABLE_HOST)).to.equal('unknownOutcome with its id')
   })
 
-  it('is said to be not run where no host could be reached', async () => {
-    expect(await send(nobody, nobody)).to.equal('targetUnreachable')
+  it('is reported as not executed if no host could be reached', async () => {
+    expect(await send(UNREACHABLE_HOST, UNREACHABLE_HOST)).to.equal('targetUnreachable')
   })
 
-  it('is answered by the next host where one breaks off', async () => {
-    expect(await send(nobody, await host(breaksOff), await host(accepts))).to.equal('answer')
+  it('is answered by the next host if one truncates its response', async () => {
+    expect(await send(UNREACHABLE_HOST, await startHost(truncateResponse), await startHost(sendAccepted))).to.equal('answer')
   })
 })
--- a/test/core/duties/dutyOrder.test.ts
+++ b/test/core/duties/dutyOrder.test.ts
@@ -2,15 +2,15 @@
 
 import { expect } from 'chai'
 import { createHash } from '../../../src/adapters/node/xxHash.ts'
-import { asHostId, asPlace } from '../../../src/base/common/ids.ts'
+import { asHostId, asFailureDomain } from '../../../src/base/common/ids.ts'
 import type { DutyHost, HostRanking } from '../../../src/core/common/duties/dutyOrder.ts'
 import { CANDIDATE_COUNT, claimDelayMs, rankHostsForDuty, isCandidate } from '../../../src/core/common/duties/dutyOrder.ts'
 import { followPauseMs } from '../../../src/core/common/steps/followPause.ts'
-import { seededChance } from '../../support/manualClock.ts'
+import { newSeededChance } from '../../support/manualClock.ts'
 
 const SIZES = [12, 60, 195, 340]
 /** A quarter of the hosts is large; the hosts are spread over five failure domains. */
-const hostsOf = (count: number, incarnation = 'a'): DutyHost[] => Array.from({ length: count }, (_, index) => ({ host: asHostId(`host-${index}/${incarnation}`), place: asPlace(`place-${index % 5}`), processor: index % 4 === 0 ? 1.35 : 0.324 }))
+const hostsOf = (count: number, incarnation = 'a'): DutyHost[] => Array.from({ length: count }, (_, index) => ({ host: asHostId(`host-${index}/${incarnation}`), place: asFailureDomain(`place-${index % 5}`), processor: index % 4 === 0 ? 1.35 : 0.324 }))
 
 describe('the ranking of hosts for a duty', async () => {
   const hash = await createHash()
@@ -46,7 +46,7 @@
 
   /** Returns the number of claims made before the first is read back. */
   function concurrentClaims (rankings: readonly HostRanking[], seed: number): number {
-    const chance = seededChance(seed)
+    const chance = newSeededChance(seed)
     const waits = rankings.map((ranking) => claimDelayMs(ranking, chance.next()))
     const first = Math.min(...waits)
     return waits.filter((wait) => wait < first + READ_BACK_MS).length
--- a/test/core/explanation/explanation.test.ts
+++ b/test/core/explanation/explanation.test.ts
@@ -1,7 +1,7 @@
 /** Timelines from recorded log lines. */
 
 import { expect } from 'chai'
-import { readLine } from '../../../src/commandLine/node/explainCommand.ts'
+import { parseLogLine } from '../../../src/commandLine/node/explainCommand.ts'
 import { explain, formatTimeline } from '../../../src/core/common/explanation/explanation.ts'
 import type { LogLine } from '../../../src/core/common/explanation/explanation.ts'
 
@@ -20,7 +20,7 @@
   line(2.2, 'c/1', 'alarm', 'store lost', { topic: 't' }),
   line(3, 'a/1', 'decided', 'call ended', { request: 'r1', route: 'x', failed: true, outcome: 'unknownOutcome', attempts: 'w1:0,-:unknownOutcome:5ms w2:1,-:ended' }),
   line(60, 'b/1', 'changed', 'configuration in force', { version: 9 })
-].map(readLine).filter((read): read is LogLine => read !== undefined)
+].map(parseLogLine).filter((read): read is LogLine => read !== undefined)
 
 describe('the timeline', () => {
   it('of an item contains its runs, its step and the status changes of its host', () => {
@@ -43,7 +43,7 @@
       line(3, 'c/1', 'decided', 'request cleared', { fingerprint: 'f1', ends: 1 }),
       line(4, 'd/1', 'decided', 'call ended', { request: 'r5', outcome: 'requestHeld', fingerprint: 'f0', attempts: '' }),
       line(4, 'd/1', 'decided', 'call ended', { request: 'r6', outcome: '200', fingerprint: '', attempts: '' })
-    ].map(readLine).filter((read): read is LogLine => read !== undefined)
+    ].map(parseLogLine).filter((read): read is LogLine => read !== undefined)
     const held = ['target ended under requests', 'request held back', 'trial of a held request', 'call ended']
     for (const id of ['r5', 'f0']) expect(explain(lines, id).map(({ what }) => what), id).to.deep.equal(held)
     expect(explain(lines, 'r1').map(({ what }) => what)).to.deep.equal(['target ended under requests'])
@@ -52,8 +52,8 @@
   it('of an unknown id is empty', () => { expect(explain(recorded, 'nobody')).to.deep.equal([]) })
 
   it('is read from lines with a prefix, and ignores text that is not a log line', () => {
-    expect(readLine(`  12.5 host ${line(0, 'a/1', 'changed', 'start', {})}`)?.what).to.equal('start')
-    for (const text of ['', 'not JSON', '{"time":1}', '{"time"', '{"time":"2026","host":1}']) expect(readLine(text)).to.equal(undefined)
+    expect(parseLogLine(`  12.5 host ${line(0, 'a/1', 'changed', 'start', {})}`)?.what).to.equal('start')
+    for (const text of ['', 'not JSON', '{"time":1}', '{"time"', '{"time":"2026","host":1}']) expect(parseLogLine(text)).to.equal(undefined)
   })
 
   it('leaves out unrelated hosts, topics, models and targets', () => {
@@ -75,7 +75,7 @@
       line(1.2, 'b/1', 'decided', 'append not confirmed', { topic: 'steps', records: 1, key: 'result/s2/i1x/n1', way: 'direct', code: 'commandUnknown', failed: true }),
       line(1.3, 'b/1', 'decided', 'result listed', { step: 's1', item: 'i1', position: 0, offset: 12, term: 1 }),
       line(1.4, 'a/1', 'changed', 'host is suspect', { member: 'b/1' })
-    ].map(readLine).filter((read): read is LogLine => read !== undefined)
+    ].map(parseLogLine).filter((read): read is LogLine => read !== undefined)
     expect(explain(unrelated, 'i1').map(({ what, details }) => [what, details.topic ?? details.model ?? details.member].filter((part) => part !== undefined).join(' '))).to.deep.equal([
       'step submitted m1', 'topic loaded steps', 'version named m1', 'store lost other', 'run ended', 'append not confirmed steps', 'result listed', 'host is suspect b/1'
     ])
--- a/test/core/fold/claims.test.ts
+++ b/test/core/fold/claims.test.ts
@@ -6,7 +6,7 @@
 import type { FoldState } from '../../../src/core/common/fold/fold.ts'
 import { DEDUPLICATION_WINDOW_MS, emptyState } from '../../../src/core/common/fold/fold.ts'
 import type { ControlRecord } from '../../../src/core/common/fold/records.ts'
-import { START, base, claim, fold, outcome, release } from '../../support/records.ts'
+import { START_TIME_MS, newRecordBase, claim, fold, outcome, release } from '../../support/records.ts'
 
 function verdictOf (result: unknown): string {
   const outcome = result as { ok: boolean, code?: string }
@@ -28,8 +28,8 @@
   { name: 'does not let a delayed copy of a released claim replace the next one', records: [claim('r', 'a'), release('r', 'a'), claim('r', 'b'), claim('r', 'a')], verdicts: ['accepted', 'accepted', 'accepted', 'repeatLater'] },
   { name: 'does not record an outcome of another attempt', records: [claim('r', 'a'), outcome('r', 'b')], verdicts: ['accepted', 'requestExpired'] },
   { name: 'does not release a claim whose outcome was reported', records: [claim('r', 'a'), outcome('r', 'a'), release('r', 'a'), claim('r', 'b')], verdicts: ['accepted', 'accepted', 'unknownOutcome', 'inProgress'] },
-  { name: 'rejects an id that is older than the deduplication window', records: [{ kind: 'tick', ...base(START + DEDUPLICATION_WINDOW_MS + 1) }, claim('r', 'a', START)], verdicts: ['accepted', 'requestExpired'] },
-  { name: 'rejects an id from the future', records: [claim('r', 'a', START + DEDUPLICATION_WINDOW_MS)], verdicts: ['malformed'] }
+  { name: 'rejects an id that is older than the deduplication window', records: [{ kind: 'tick', ...newRecordBase(START_TIME_MS + DEDUPLICATION_WINDOW_MS + 1) }, claim('r', 'a', START_TIME_MS)], verdicts: ['accepted', 'requestExpired'] },
+  { name: 'rejects an id from the future', records: [claim('r', 'a', START_TIME_MS + DEDUPLICATION_WINDOW_MS)], verdicts: ['malformed'] }
 ]
 
 describe('claims', () => {
@@ -53,7 +53,7 @@
   it('never runs an id again after its claim was pruned', () => {
     const state = emptyState()
     fold(state, claim('r', 'a'), outcome('r', 'a'))
-    fold(state, { kind: 'tick', ...base(START + 2 * DEDUPLICATION_WINDOW_MS) })
+    fold(state, { kind: 'tick', ...newRecordBase(START_TIME_MS + 2 * DEDUPLICATION_WINDOW_MS) })
     expect(state.claims[claimKey('records', 'r')]).to.equal(undefined)
     expect(fold(state, claim('r', 'b')).map(verdictOf)).to.deep.equal(['requestExpired'])
   })
--- a/test/core/fold/fold.test.ts
+++ b/test/core/fold/fold.test.ts
@@ -5,7 +5,7 @@
 import { emptyState, foldEntry, restore, snapshot } from '../../../src/core/common/fold/fold.ts'
 import { encodeEnvelope } from '../../../src/core/common/fold/records.ts'
 import type { ControlRecord } from '../../../src/core/common/fold/records.ts'
-import { START, base, claim, command, fold, pull, sampleOf, samples, submit } from '../../support/records.ts'
+import { START_TIME_MS, newRecordBase, claim, command, fold, pull, sampleOf, samples, submit } from '../../support/records.ts'
 
 const createPool = command({ verb: 'create', kind: 'pool', name: 'drafter', properties: { copies: 1 } })
 const createTarget = (name: string): ControlRecord => command({ verb: 'create', kind: 'target', name, properties: { pool: 'drafter', address: 'http://127.0.0.1:1', place: 'Abdali' } })
@@ -47,8 +47,8 @@
       command({ verb: 'load', pool: 'drafter', version: 3 }),
       command({ verb: 'remove', kind: 'pool', name: 'drafter' }),
       claim('r', 'a'), claim('r', 'b'), submit('g', 1), samples(sampleOf('g', 0, 3)), pull(0, 3), pull(1, 3),
-      { kind: 'lease', ...base(), shard: 's', holder: 'h', ifEpoch: 0, durationMs: 10 },
-      { kind: 'tick', ...base(START + 400_000) }
+      { kind: 'lease', ...newRecordBase(), shard: 's', holder: 'h', ifEpoch: 0, durationMs: 10 },
+      { kind: 'tick', ...newRecordBase(START_TIME_MS + 400_000) }
     )
     fc.assert(fc.property(fc.array(record, { maxLength: 40 }), fc.nat(40), (records, cut) => {
       const whole = emptyState()
@@ -107,7 +107,7 @@
   })
 
   describe('leases', () => {
-    const lease = (holder: string, ifEpoch: number): ControlRecord => ({ kind: 'lease', ...base(), shard: 's', holder, ifEpoch, durationMs: 1000 })
+    const lease = (holder: string, ifEpoch: number): ControlRecord => ({ kind: 'lease', ...newRecordBase(), shard: 's', holder, ifEpoch, durationMs: 1000 })
 
     it('raises the fencing token for a new holder and keeps it on renewal', () => {
       const state = emptyState()
--- a/test/core/membership/memberTable.test.ts
+++ b/test/core/membership/memberTable.test.ts
@@ -2,18 +2,18 @@
 
 import { expect } from 'chai'
 import fc from 'fast-check'
-import { asHostId, asPlace } from '../../../src/base/common/ids.ts'
+import { asHostId, asFailureDomain } from '../../../src/base/common/ids.ts'
 import type { MemberStatus, MemberUpdate } from '../../../src/core/common/membership/memberTable.ts'
 import { MemberTable } from '../../../src/core/common/membership/memberTable.ts'
 
 const settings = { suspicionMs: 100, forgetMs: 1000 }
 
 function createUpdate (host: string, status: MemberStatus, incarnation: number): MemberUpdate {
-  return { host: asHostId(host), address: `http://${host}`, place: asPlace('Abdali'), status, incarnation }
+  return { host: asHostId(host), address: `http://${host}`, place: asFailureDomain('Abdali'), status, incarnation }
 }
 
 function createTable (host = 'self'): MemberTable {
-  return new MemberTable({ host: asHostId(host), address: `http://${host}`, place: asPlace('Abdali') }, settings, 0)
+  return new MemberTable({ host: asHostId(host), address: `http://${host}`, place: asFailureDomain('Abdali') }, settings, 0)
 }
 
 const rules: readonly { name: string, first: readonly [MemberStatus, number], second: readonly [MemberStatus, number], wins: boolean }[] = [
--- a/test/core/requests/policies.test.ts
+++ b/test/core/requests/policies.test.ts
@@ -1,7 +1,7 @@
 /** Small policies: retries and their budget, freshness, homes, and rollout planning. */
 
 import { expect } from 'chai'
-import { asHostId, asPlace } from '../../../src/base/common/ids.ts'
+import { asHostId, asFailureDomain } from '../../../src/base/common/ids.ts'
 import type { ResultCode } from '../../../src/base/common/resultCode.ts'
 import { failure } from '../../../src/base/common/resultCode.ts'
 import { FreshnessTracker } from '../../../src/core/common/fold/freshness.ts'
@@ -13,7 +13,7 @@
 import { RolloutProgress } from '../../../src/core/common/samples/rollout.ts'
 import { planRollouts } from '../../../src/core/common/samples/rolloutPlan.ts'
 import { createHash } from '../../../src/adapters/node/xxHash.ts'
-import { seededChance } from '../../support/manualClock.ts'
+import { newSeededChance } from '../../support/manualClock.ts'
 
 describe('retries', () => {
   const cases: readonly { code: ResultCode, idempotent: boolean, attempts?: number, remainingMs?: number, retried: boolean }[] = [
@@ -45,7 +45,7 @@
   })
 
   it('are requested with jitter', () => {
-    const chance = seededChance(1)
+    const chance = newSeededChance(1)
     const times = new Set(Array.from({ length: 20 }, () => jitterRetryAfter(1000, chance)))
     expect(times.size).to.be.greaterThan(15)
     expect(Math.min(...times)).to.be.at.least(1000)
@@ -82,14 +82,14 @@
 describe('homes', () => {
   it('move only from a host that leaves, and stay in their failure domain while it has hosts', async () => {
     const hash = await createHash()
-    const hosts = Array.from({ length: 12 }, (_, index) => ({ host: asHostId(`host-${index}`), place: asPlace(`place-${index % 3}`) }))
+    const hosts = Array.from({ length: 12 }, (_, index) => ({ host: asHostId(`host-${index}`), place: asFailureDomain(`place-${index % 3}`) }))
     const keys = Array.from({ length: 300 }, (_, index) => `key-${index}`)
     const gone = hosts[4]
     for (const key of keys) {
       const before = findHome(hash, key, hosts)
       const after = findHome(hash, key, hosts.filter((host) => host !== gone))
       if (before !== gone) expect(after).to.equal(before)
-      expect(findHome(hash, key, hosts, asPlace('place-1'))?.place).to.equal('place-1')
+      expect(findHome(hash, key, hosts, asFailureDomain('place-1'))?.place).to.equal('place-1')
     }
     const loads = hosts.map((host) => keys.filter((key) => findHome(hash, key, hosts) === host).length)
     expect(Math.max(...loads)).to.be.below(50)
--- a/test/core/routes/heldRequestFold.test.ts
+++ b/test/core/routes/heldRequestFold.test.ts
@@ -1,14 +1,14 @@
 /** The fold that determines which requests are held back, from the order of ends, answers and trials in the topic. */
 
 import { expect } from 'chai'
-import { asRequestFingerprint, targetLife } from '../../../src/base/common/ids.ts'
+import { asRequestFingerprint, targetIncarnationId } from '../../../src/base/common/ids.ts'
 import { HeldRequestFold } from '../../../src/core/common/routes/heldRequestFold.ts'
 import { requestClearedRecord, targetEndedRecord, readHeldRequestRecord, trialRecord } from '../../../src/core/common/routes/heldRequestRecords.ts'
 import type { KeyedEntry, KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
 
 const poisonRequest = asRequestFingerprint('f'.repeat(32))
 const other = asRequestFingerprint('0'.repeat(32))
-const incarnation = (number: number): ReturnType<typeof targetLife> => targetLife(`t/${number}`, undefined)
+const incarnation = (number: number): ReturnType<typeof targetIncarnationId> => targetIncarnationId(`t/${number}`, undefined)
 
 class TestTopic {
   readonly entries: KeyedEntry[] = []
--- a/test/core/routes/routes.test.ts
+++ b/test/core/routes/routes.test.ts
@@ -6,10 +6,10 @@
 import { pickDestination, RouteTable } from '../../../src/core/common/routes/routeConfiguration.ts'
 import type { TargetLoad } from '../../../src/core/common/routes/targetChoice.ts'
 import { chooseTarget } from '../../../src/core/common/routes/targetChoice.ts'
-import { route, targetDefinition } from '../../support/routes.ts'
+import { newRoute, newTargetDefinition } from '../../support/routes.ts'
 
 describe('the route table', () => {
-  const table = new RouteTable({ version: 1, routes: [route({ name: 'short', pathPrefix: '/a/' }), route({ name: 'long', pathPrefix: '/a/b/' }), route({ name: 'other', host: 'other.example' })] as Route[], services: [], limits: {} as RouteConfiguration['limits'] })
+  const table = new RouteTable({ version: 1, routes: [newRoute({ name: 'short', pathPrefix: '/a/' }), newRoute({ name: 'long', pathPrefix: '/a/b/' }), newRoute({ name: 'other', host: 'other.example' })] as Route[], services: [], limits: {} as RouteConfiguration['limits'] })
 
   for (const { host, path, expected } of [
     { host: 'calls.example', path: '/a/b/c', expected: 'long' },
@@ -29,7 +29,7 @@
 })
 
 describe('the selection of a target', () => {
-  const load = (id: string, details: Partial<TargetLoad> = {}): TargetLoad => ({ definition: targetDefinition({ id }), inFlight: 0, report: undefined, reportAgeMs: Number.POSITIVE_INFINITY, answerMs: 30, suspect: false, ...details })
+  const load = (id: string, details: Partial<TargetLoad> = {}): TargetLoad => ({ definition: newTargetDefinition({ id }), inFlight: 0, report: undefined, reportAgeMs: Number.POSITIVE_INFINITY, answerMs: 30, suspect: false, ...details })
   const chosen = (loads: TargetLoad[]): string | undefined => chooseTarget(loads, 'here', 0)?.definition.id
 
   for (const { name, loads, expected } of [
@@ -39,7 +39,7 @@
     { name: 'ignores an old report', loads: [load('a', { report: { running: 6, waiting: 9, slots: 6 }, reportAgeMs: 5000 }), load('b', { inFlight: 2 })], expected: 'a' },
     { name: 'avoids a suspect target while another is left', loads: [load('a', { suspect: true }), load('b', { inFlight: 30 })], expected: 'b' },
     { name: 'uses a suspect target if no other is left', loads: [load('a', { suspect: true })], expected: 'a' },
-    { name: 'prefers its own failure domain if all else is equal', loads: [load('a', { definition: targetDefinition({ id: 'a', place: 'there' }) }), load('b')], expected: 'b' }
+    { name: 'prefers its own failure domain if all else is equal', loads: [load('a', { definition: newTargetDefinition({ id: 'a', place: 'there' }) }), load('b')], expected: 'b' }
   ]) {
     it(name, () => { expect(chosen(loads)).to.equal(expected) })
   }
--- a/test/core/steps/foldConsistency.test.ts
+++ b/test/core/steps/foldConsistency.test.ts
@@ -8,7 +8,7 @@
 import { claimRecord, endRecord, releaseRecord, renewalRecord, resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import type { KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 const ITEMS = ['a', 'b', 'c']
 const HOLDERS = ['one', 'two', 'three']
@@ -41,7 +41,7 @@
   switch (what) {
     case 'submission': {
       // The same host repeats a submission under the same keys; another host writes payloads of its own.
-      const { outline } = submissionRecords(submission(step, ITEMS.map((id) => item(id, 'g'))), 1, nonce(0))
+      const { outline } = submissionRecords(newSubmission(step, ITEMS.map((id) => newItem(id, 'g'))), 1, nonce(0))
       return deliveryDelays.map(() => outline)
     }
     case 'result': return deliveryDelays.map((_, place) => [resultRecord(step, { item: name, state: 'complete', versions: [1], score: undefined, textKey: nonce(place) }, nonce(place))])
--- a/test/core/steps/headStart.test.ts
+++ b/test/core/steps/headStart.test.ts
@@ -5,10 +5,10 @@
 import { minimumVersionAfterStep, maxHeadStarts, planHeadStarts } from '../../../src/core/common/steps/headStart.ts'
 import type { ItemProgress } from '../../../src/core/common/steps/headStart.ts'
 import { ItemLengthEstimator } from '../../../src/core/common/steps/itemLengthEstimator.ts'
-import { allPolicies, ModelDay } from '../../../tools/bench/steps/day.ts'
+import { allPolicies, DaySimulation } from '../../../tools/bench/steps/day.ts'
 import { drawDay } from '../../../tools/bench/steps/draws.ts'
-import type { Shape } from '../../../tools/bench/steps/shape.ts'
-import { readShape } from '../../../tools/bench/steps/shape.ts'
+import type { DayShape } from '../../../tools/bench/steps/shape.ts'
+import { readDayShape } from '../../../tools/bench/steps/shape.ts'
 
 const TOKENS = 10
 const lengths = new ItemLengthEstimator()
@@ -21,12 +21,12 @@
   // weights that it may not use. These items took 6 to 7 of the 7.5 s in which a step is due, so the smallest interruption
   // made each step late and no delay was ever recovered.
   it('shorten the time until the wanted groups are listed by more than 7 %', () => {
-    const read = readShape('tools/bench/steps/long-items.toml')
+    const read = readDayShape('tools/bench/steps/long-items.toml')
     if (!read.ok) throw new Error(read.message)
     const noOccurrences = { per_day: 0, least_s: 0, most_s: 0 }
-    const shape: Shape = { ...read.value, store_away: noOccurrences, holder_lost: noOccurrences, engine_slow: { ...noOccurrences, factor: 1 }, engine_lost: noOccurrences }
+    const shape: DayShape = { ...read.value, store_away: noOccurrences, holder_lost: noOccurrences, engine_slow: { ...noOccurrences, factor: 1 }, engine_lost: noOccurrences }
     // A step that the trainer never submitted counts as one it gave up on.
-    const wanted = (headStarts: boolean): number[] => [1, 2, 3, 4, 5, 6].flatMap((seed) => new ModelDay(shape, drawDay(shape, seed), { ...allPolicies, headStarts }).run().slice(2).map(({ wantedMs }) => wantedMs ?? 12_000))
+    const wanted = (headStarts: boolean): number[] => [1, 2, 3, 4, 5, 6].flatMap((seed) => new DaySimulation(shape, drawDay(shape, seed), { ...allPolicies, headStarts }).run().slice(2).map(({ wantedMs }) => wantedMs ?? 12_000))
     const mean = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length
     expect(mean(wanted(true))).to.be.lessThan(mean(wanted(false)) * 0.93)
   })
--- a/test/core/steps/itemPhases.test.ts
+++ b/test/core/steps/itemPhases.test.ts
@@ -5,7 +5,7 @@
 import { StepFold } from '../../../src/core/common/steps/stepFold.ts'
 import { resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import { carriedOverGroups, hasWantedGroups } from '../../../src/core/common/steps/wantedGroups.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 describe('the phases of an item', () => {
   it('cover its whole time without overlap and add up when repeated', () => {
@@ -21,7 +21,7 @@
 
 describe('wanted groups', () => {
   const fold = new StepFold()
-  const submitted = (id: string, at: number, groups: string, wantedGroups: number) => submissionRecords(submission(id, [...groups].map((group, index) => item(`${id}${index}`, group)), { wantedGroups }), at, id).outline
+  const submitted = (id: string, at: number, groups: string, wantedGroups: number) => submissionRecords(newSubmission(id, [...groups].map((group, index) => newItem(`${id}${index}`, group)), { wantedGroups }), at, id).outline
   const records = [
     ...submitted('s', 1, 'abcd', 2),
     ...submitted('t', 2, 'daef', 2),
