--- a/test/core/steps/startOrder.test.ts
+++ b/test/core/steps/startOrder.test.ts
@@ -4,9 +4,9 @@
 import { ItemLengthEstimator } from '../../../src/core/common/steps/itemLengthEstimator.ts'
 import type { WaitingItem } from '../../../src/core/common/steps/startOrder.ts'
 import { compareStartOrder } from '../../../src/core/common/steps/startOrder.ts'
-import { allPolicies, ModelDay } from '../../../tools/bench/steps/day.ts'
+import { allPolicies, DaySimulation } from '../../../tools/bench/steps/day.ts'
 import { drawDay } from '../../../tools/bench/steps/draws.ts'
-import { readShape } from '../../../tools/bench/steps/shape.ts'
+import { readDayShape } from '../../../tools/bench/steps/shape.ts'
 
 const waiting = (details: Partial<WaitingItem> = {}): WaitingItem => ({ rank: 'wanted', ranBefore: false, remainingMs: 1000, dueAtMs: 7500, ...details })
 const order = (...items: WaitingItem[]): number[] => [...items].sort(compareStartOrder).map((item) => items.indexOf(item))
@@ -29,9 +29,9 @@
   })
 
   it('shortens the time until the wanted groups are listed when a trainer was delayed', () => {
-    const shape = readShape('tools/bench/steps/long-items.toml')
+    const shape = readDayShape('tools/bench/steps/long-items.toml')
     if (!shape.ok) throw new Error(shape.message)
-    const wanted = (urgency: boolean): number => [1, 2, 3, 4, 5, 6, 7, 8].flatMap((seed) => new ModelDay(shape.value, drawDay(shape.value, seed), { ...allPolicies, urgency }).run().map(({ wantedMs }) => wantedMs ?? 12_000)).reduce((sum, time) => sum + time, 0)
+    const wanted = (urgency: boolean): number => [1, 2, 3, 4, 5, 6, 7, 8].flatMap((seed) => new DaySimulation(shape.value, drawDay(shape.value, seed), { ...allPolicies, urgency }).run().map(({ wantedMs }) => wantedMs ?? 12_000)).reduce((sum, time) => sum + time, 0)
     expect(wanted(true)).to.be.lessThan(wanted(false) * 0.99)
   })
 })
--- a/test/core/steps/stepFold.test.ts
+++ b/test/core/steps/stepFold.test.ts
@@ -8,10 +8,10 @@
 import type { ListedResult } from '../../../src/core/common/steps/step.ts'
 import type { KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
 import { MemoryKeyedLog } from '../../support/memoryKeyedLog.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 const result = (id: string, text = id, versions = [1]): ListedResult => ({ item: id, state: 'complete', versions, score: `score of ${text}`, textKey: text })
-const accepted = (id: string, nonce = 'n') => submissionRecords(submission(id, [item('a', 'g'), item('b', 'g'), item('c', 'h')]), 1, nonce).outline
+const accepted = (id: string, nonce = 'n') => submissionRecords(newSubmission(id, [newItem('a', 'g'), newItem('b', 'g'), newItem('c', 'h')]), 1, nonce).outline
 
 function foldOf (records: readonly KeyedRecord[]): { live: StepFold, log: MemoryKeyedLog } {
   const log = new MemoryKeyedLog()
@@ -42,7 +42,7 @@
   })
 
   it('accepts a long submission that is split into parts', () => {
-    const long = submission('long', Array.from({ length: 1500 }, (_, index) => item(`i${index}`, `g${index}`, 100, `s${index}`)))
+    const long = newSubmission('long', Array.from({ length: 1500 }, (_, index) => newItem(`i${index}`, `g${index}`, 100, `s${index}`)))
     const { outline } = submissionRecords(long, 5, 'n')
     expect(outline.length).to.equal(3)
     const { live } = foldOf(outline)
@@ -54,7 +54,7 @@
     // Failure: an accepted step was unknown to every host that started later. Two hosts had accepted it, and their
     // outlines differed in length by one digit: the first took two parts, the later one. Hosts that loaded the topic
     // joined the new first part to the old second one.
-    const submitted = submission('s', [item('a', 'g')])
+    const submitted = newSubmission('s', [newItem('a', 'g')])
     let padding = 0
     const written = (offset: number) => outlineRecords({ ...submitted, path: `/${'x'.repeat(padding)}` }, 1, { nonce: 'n', parts: 1, at: { offset, characters: 9 } })
     while (written(1000).length === 1) padding++
@@ -65,7 +65,7 @@
   })
 
   it('does not accept a submission with a missing part', () => {
-    const { outline } = submissionRecords(submission('long', Array.from({ length: 1500 }, (_, index) => item(`i${index}`, 'g'))), 5, 'n')
+    const { outline } = submissionRecords(newSubmission('long', Array.from({ length: 1500 }, (_, index) => newItem(`i${index}`, 'g'))), 5, 'n')
     expect(foldOf(outline.slice(1)).live.step('long')).to.equal(undefined)
   })
 
--- a/test/core/steps/stepPlan.test.ts
+++ b/test/core/steps/stepPlan.test.ts
@@ -7,7 +7,7 @@
 import type { EngineLoad, ItemLengthClass } from '../../../src/core/common/steps/engineChoice.ts'
 import { planItemOrder } from '../../../src/core/common/steps/stepPlan.ts'
 import type { StepItem } from '../../../src/core/common/steps/step.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 const noneCarriedOver = (): boolean => false
 
@@ -26,16 +26,16 @@
 
 describe('the order of a step', () => {
   it('has groups carried over first, then wanted ones without a long item, longest item first', () => {
-    const items = [item('a1', 'a', 50), item('a2', 'a', 900), item('b1', 'b', 60), item('b2', 'b', 70), item('c1', 'c', 10), item('c2', 'c', 20), item('d1', 'd', 500), item('d2', 'd', 5)]
-    const order = planItemOrder(submission('s', items, { wantedGroups: 3 }), (group) => group === 'd')
+    const items = [newItem('a1', 'a', 50), newItem('a2', 'a', 900), newItem('b1', 'b', 60), newItem('b2', 'b', 70), newItem('c1', 'c', 10), newItem('c2', 'c', 20), newItem('d1', 'd', 500), newItem('d2', 'd', 5)]
+    const order = planItemOrder(newSubmission('s', items, { wantedGroups: 3 }), (group) => group === 'd')
     expect(order.map(({ item: { id } }) => id)).to.deep.equal(['d1', 'b2', 'b1', 'c2', 'c1', 'd2', 'a2', 'a1'])
     expect(order.map(({ rank }) => rank)).to.deep.equal(['carried', 'wanted', 'wanted', 'wanted', 'wanted', 'carried', 'spare', 'spare'])
   })
 
   it('contains every item once', () => {
     fc.assert(fc.property(fc.array(fc.tuple(fc.constantFrom('a', 'b', 'c', 'd'), fc.integer({ min: 1, max: 3000 })), { minLength: 1, maxLength: 60 }), fc.integer({ min: 1, max: 4 }), (rows, wantedGroups) => {
-      const items = rows.map(([group, tokens], index) => item(`i${index}`, group, tokens))
-      const order = planItemOrder(submission('s', items, { wantedGroups }), noneCarriedOver)
+      const items = rows.map(([group, tokens], index) => newItem(`i${index}`, group, tokens))
+      const order = planItemOrder(newSubmission('s', items, { wantedGroups }), noneCarriedOver)
       expect(order.map(({ item: { id } }) => id).sort()).to.deep.equal(items.map(({ id }) => id).sort())
     }))
   })
@@ -50,8 +50,8 @@
     let planned = 0
     let given = 0
     for (let step = 0; step < 50; step++) {
-      const items = Array.from({ length: 68 }, (_, index) => item(`i${index}`, `g${Math.floor(index / 4)}`, Math.round(60 * Math.exp(random() * 2) * (random() < 0.08 ? 5 : 1))))
-      planned += replay(planItemOrder(submission('s', items, { wantedGroups: 15 }), noneCarriedOver).map((planned) => planned.item), 24, 15)
+      const items = Array.from({ length: 68 }, (_, index) => newItem(`i${index}`, `g${Math.floor(index / 4)}`, Math.round(60 * Math.exp(random() * 2) * (random() < 0.08 ? 5 : 1))))
+      planned += replay(planItemOrder(newSubmission('s', items, { wantedGroups: 15 }), noneCarriedOver).map((planned) => planned.item), 24, 15)
       given += replay(items, 24, 15)
     }
     expect(planned).to.be.lessThan(given * 0.85)
--- a/test/core/steps/unreadableRecords.test.ts
+++ b/test/core/steps/unreadableRecords.test.ts
@@ -7,14 +7,14 @@
 import { StepFold } from '../../../src/core/common/steps/stepFold.ts'
 import { claimRecord, parseRecord, resultRecord, submissionRecords } from '../../../src/core/common/steps/stepRecords.ts'
 import type { KeyedRecord } from '../../../src/ports/common/keyedLog.ts'
-import { item, submission } from '../../support/steps.ts'
+import { newItem, newSubmission } from '../../support/steps.ts'
 
 const text = fc.oneof(fc.string({ unit: 'binary' }), fc.json(), fc.constantFrom('%', '%ff', 's', '0/1:{}', '0/1:null', '0/1:{"submission":{"items":3}}', '0/999999999:x', '4294967294/2:x', '0/0:{}'))
 const foreignRecord: fc.Arbitrary<KeyedRecord> = fc.record({
   key: fc.oneof(text, fc.tuple(fc.constantFrom('step', 'result', 'end', 'claim', 'renewal', 'release', 'payload', 'text'), text, text).map((parts) => parts.join('/'))),
   value: fc.option(text, { nil: undefined })
 })
-const { outline } = submissionRecords(submission('good', [item('a', 'g')]), 1, 'n')
+const { outline } = submissionRecords(newSubmission('good', [newItem('a', 'g')]), 1, 'n')
 const validRecords: readonly KeyedRecord[] = [...outline, resultRecord('good', { item: 'a', state: 'complete', versions: [1], score: 'x', textKey: 't' }, 'n')]
 
 function foldOf (records: readonly KeyedRecord[]): StepFold {
@@ -35,7 +35,7 @@
 
   it('are skipped if their value does not match their key', () => {
     const claim = { duty: 'd', holder: 'h', term: 1 }
-    const submitted = (change: object): KeyedRecord => ({ key: 'step/s/0', value: `0/1:${JSON.stringify({ submission: { ...submission('s', [item('a', 'g')]), ...change }, at: 1, payload: { nonce: 'n', parts: 1 } })}` })
+    const submitted = (change: object): KeyedRecord => ({ key: 'step/s/0', value: `0/1:${JSON.stringify({ submission: { ...newSubmission('s', [newItem('a', 'g')]), ...change }, at: 1, payload: { nonce: 'n', parts: 1 } })}` })
     const accepted = (record: KeyedRecord): boolean => foldOf([record]).step('s') !== undefined
     expect(accepted(submitted({}))).to.equal(true)
     expect([{ id: 'another' }, { items: 3 }, { items: [{ id: 1 }] }, { minimumVersion: 'six' }, { model: undefined }].map((change) => accepted(submitted(change)))).to.deep.equal(Array(5).fill(false))
@@ -57,7 +57,7 @@
     const isRead = (value: unknown): boolean => parsePayloads([JSON.stringify(value)]) !== undefined
     expect(isRead([['i', payload]])).to.equal(true)
     expect([{}, 'i', [['i']], [[1, payload]], [['i', { ...payload, body: 3 }]], [['i', { ...payload, path: undefined }]], [['i', { ...payload, headers: { x: 1 } }]], [['i', { ...payload, scorer: 'c' }]]].map(isRead)).to.deep.equal(Array(8).fill(false))
-    const items = [{ ...item('a', 'g'), path: '/p', headers: {}, body: '', scorer: { requestId: 'c', host: 'h', path: '/s', body: '' } }]
+    const items = [{ ...newItem('a', 'g'), path: '/p', headers: {}, body: '', scorer: { requestId: 'c', host: 'h', path: '/s', body: '' } }]
     const read = parsePayloads(payloadRecords('s', items, 'n').map(({ value }) => value ?? ''))
     expect(read?.get('a')).to.deep.equal({ path: '/p', headers: {}, body: '', scorer: items[0]?.scorer })
     fc.assert(fc.property(fc.array(text), text, (values, one) => {
--- a/test/host/hostGauges.test.ts
+++ b/test/host/hostGauges.test.ts
@@ -1,4 +1,4 @@
-/** What a scrape shows of the duty, the targets and the items of a host. */
+/** Gauges that a scrape reports for the duty, the targets and the items of a host. */
 
 import { expect } from 'chai'
 import { TargetTable } from '../../src/actors/common/routes/targetTable.ts'
@@ -6,23 +6,23 @@
 import type { ItemState } from '../../src/actors/common/steps/stepWork.ts'
 import { countItems, setGauges } from '../../src/host/node/hostGauges.ts'
 import type { Metrics } from '../../src/ports/common/observation.ts'
-import { quietLog, quietMetrics } from '../support/fakeHost.ts'
+import { noopStateLog, noopMetrics } from '../support/fakeHost.ts'
 import { ManualClock } from '../support/manualClock.ts'
-import { targetDefinition } from '../support/routes.ts'
-import { item } from '../support/steps.ts'
+import { newTargetDefinition } from '../support/routes.ts'
+import { newItem } from '../support/steps.ts'
 import { newText } from '../support/texts.ts'
 
-describe('the gauges of a host', () => {
-  it('tell the states of the duty, of targets and of items apart', () => {
-    // In an incident nobody could tell whether the holder of the duty was sure of it, held its targets
-    // for suspect, or waited for the store: a scrape had the term and one number of items only.
-    const targets = new TargetTable({ clock: new ManualClock(), stateLog: quietLog })
-    for (const id of ['a', 'b', 'c']) targets.set(targetDefinition({ id }))
+describe('host gauges', () => {
+  it('report the states of the duty, of targets and of items separately', () => {
+    // Guards against a scrape that reports only the term and a single item count: during an incident it
+    // does not show whether the holder is sure of the duty, suspects its targets, or waits for the store.
+    const targets = new TargetTable({ clock: new ManualClock(), stateLog: noopStateLog })
+    for (const id of ['a', 'b', 'c']) targets.set(newTargetDefinition({ id }))
     targets.get('b')?.recordFailure()
     const states: ItemState[] = ['waiting', 'waiting', 'running', 'scoring', 'scoring', 'scoring', 'listing']
-    const items = countItems(states.map((state, index) => ({ ...newItemWork({ item: item(`i${index}`, 'g'), rank: 'wanted' }, newText(), 0), state })))
+    const items = countItems(states.map((state, index) => ({ ...newItemWork({ item: newItem(`i${index}`, 'g'), rank: 'wanted' }, newText(), 0), state })))
     const set: Record<string, number> = {}
-    const metrics: Metrics = { ...quietMetrics, gauge: (name, value) => { set[name] = value } }
+    const metrics: Metrics = { ...noopMetrics, gauge: (name, value) => { set[name] = value } }
     setGauges(metrics, { duty: { term: 3, alone: true }, requests: 5, items, held: 1, backlog: 4, usageReportedThrough: 200, targets: targets.counts })
     expect(set).to.deep.equal({
       'usage.reported': 200,
--- a/test/host/settingsReloader.test.ts
+++ b/test/host/settingsReloader.test.ts
@@ -1,4 +1,4 @@
-/** Settings that change while a host runs. */
+/** Reloading of settings while a host runs. */
 
 import { expect } from 'chai'
 import { failure, success } from '../../src/base/common/resultCode.ts'
@@ -19,30 +19,30 @@
   })
 }
 
-describe('the reload of settings', () => {
+describe('SettingsReloader', () => {
   const lines: string[] = []
   const applied: string[][] = []
   let read: Result<HostSettings> = success({ type: 'routes', settings: settings() })
-  const note = (what: string, details: object): void => { lines.push(`${what} ${JSON.stringify(details)}`) }
-  const reloader = new SettingsReloader(settings(), () => read, ({ membership }) => { applied.push(membership.seeds) }, { changed: note, alarm: note, decided: note })
+  const recordLine = (what: string, details: object): void => { lines.push(`${what} ${JSON.stringify(details)}`) }
+  const reloader = new SettingsReloader(settings(), () => read, ({ membership }) => { applied.push(membership.seeds) }, { changed: recordLine, alarm: recordLine, decided: recordLine })
 
-  it('does nothing where nothing changed', () => {
-    reloader.look()
+  it('does nothing if the settings have not changed', () => {
+    reloader.reloadIfChanged()
     expect(lines).to.deep.equal([])
   })
 
-  it('applies seeds, and says what needs a restart', () => {
+  it('applies seeds and lists the tables that need a restart', () => {
     read = success({ type: 'routes', settings: settings({ seeds: ['http://127.0.0.1:9'], validFor: 1000 }) })
-    reloader.look()
-    reloader.look()
+    reloader.reloadIfChanged()
+    reloader.reloadIfChanged()
     expect(applied).to.deep.equal([['http://127.0.0.1:9']])
     expect(lines.splice(0)).to.deep.equal(['settings reloaded {"seeds":1,"holdAfterRestart":"limits"}'])
   })
 
-  it('reports a mistake once and keeps the old settings', () => {
+  it('reports an error once and keeps the previous settings', () => {
     read = failure('invalidSettings', 'line 3: host.name: is missing')
-    reloader.look()
-    reloader.look()
+    reloader.reloadIfChanged()
+    reloader.reloadIfChanged()
     expect(applied).to.have.length(1)
     expect(lines.splice(0)).to.have.length(1)
   })
--- a/test/host/start.test.ts
+++ b/test/host/start.test.ts
@@ -1,4 +1,4 @@
-/** A host's start: from compiled code, without what a host of routes never uses. */
+/** Host start-up: uses the V8 code cache and does not load modules that a host serving routes never uses. */
 
 import { expect } from 'chai'
 import { execFileSync } from 'node:child_process'
@@ -11,26 +11,26 @@
   readonly roles: { readonly host: { readonly run: string } }
 }
 
-describe('the start of a host', function () {
+describe('host start-up', function () {
   this.timeout(30_000)
 
-  const run = (parse(readFileSync('deploy/system.toml', 'utf8')) as unknown as Deployment).roles.host.run.split(' ')
+  const startCommand = (parse(readFileSync('deploy/system.toml', 'utf8')) as unknown as Deployment).roles.host.run.split(' ')
 
-  it('has the options under which the build compiled', () => {
-    // Symptom: hosts started as slowly as without compiled code. The engine passes it over, without a word, under any other option.
-    const script = run.findIndex((word) => word.endsWith('.cjs'))
-    expect(run[script]).to.equal('target/start.cjs')
+  it('runs with the options under which the build created the code cache', () => {
+    // Guards against hosts that start as slowly as without a code cache: V8 silently rejects the cache if any option differs.
+    const script = startCommand.findIndex((word) => word.endsWith('.cjs'))
+    expect(startCommand[script]).to.equal('target/start.cjs')
     const look = `
       const { Script } = require('node:vm')
       const { readFileSync } = require('node:fs')
       const script = new Script(require('node:module').wrap(readFileSync('dist/bulrushvalve.cjs', 'latin1')), { filename: 'x', cachedData: readFileSync('dist/bulrushvalve.compiled') })
       console.log(script.cachedDataRejected)`
-    expect(execFileSync(process.execPath, [...run.slice(1, script), '-e', look], { encoding: 'utf8' }).trim()).to.equal('false')
+    expect(execFileSync(process.execPath, [...startCommand.slice(1, script), '-e', look], { encoding: 'utf8' }).trim()).to.equal('false')
   })
 
-  it('does not load what a host of routes never uses', () => {
-    // Symptom: after the loss of all hosts of a large deployment each took half a second of its processor to start. The command line's
-    // tables of letters, fetch, HTTP/2 and the grammar of commands were a third of that, on hosts that never use them.
+  it('does not load modules that a host serving routes never uses', () => {
+    // Guards against slow restarts of a large deployment after the loss of all hosts: each used half a second of processor time to start,
+    // a third of it for the command line's Unicode segmentation tables, fetch, HTTP/2 and the command grammar, which these hosts never use.
     const look = `
       const segmenter = Intl.Segmenter
       let segmenters = 0
@@ -53,8 +53,8 @@
   })
 
   for (const compiled of [undefined, '', 'of another engine']) {
-    it(`does without compiled code where ${compiled === undefined ? 'there is none' : `it is "${compiled}"`}`, () => {
-      // Symptom: a deployment's build failed on a busy machine, as compiling had taken longer than a second and left no file.
+    it(`starts without a code cache if ${compiled === undefined ? 'there is none' : `its content is "${compiled}"`}`, () => {
+      // Guards against a failed deployment when compiling takes longer than a second on a busy machine and leaves no cache file.
       const folder = mkdtempSync(join(tmpdir(), 'start-'))
       for (const file of ['start.cjs', 'bulrushvalve.cjs']) copyFileSync(join('dist', file), join(folder, file))
       if (compiled !== undefined) writeFileSync(join(folder, 'bulrushvalve.compiled'), compiled)
@@ -64,7 +64,7 @@
     })
   }
 
-  it('is of a script that holds ASCII alone, as it is read', () => {
+  it('runs a script that contains only ASCII, as it is read as Latin-1', () => {
     expect(readFileSync('dist/bulrushvalve.cjs', 'latin1') === readFileSync('dist/bulrushvalve.cjs', 'utf8')).to.equal(true)
   })
 })
--- a/test/host/wholePath.test.ts
+++ b/test/host/wholePath.test.ts
@@ -1,17 +1,17 @@
-/** The whole path on separate processes: operators, callers, services, trainers. */
+/** End-to-end tests with separate processes: operators, callers, services and trainers. */
 
 import { expect } from 'chai'
 import type { Cluster } from '../support/hostProcess.ts'
 import { call, keys, waitUntil } from '../support/hostProcess.ts'
-import type { Platform } from '../support/platform.ts'
-import { startPlatform } from '../support/platform.ts'
+import type { TestPlatform } from '../support/platform.ts'
+import { startTestPlatform } from '../support/platform.ts'
 
-describe('the whole path', () => {
-  let platform: Platform
+describe('end-to-end path', () => {
+  let platform: TestPlatform
   let cluster: Cluster
 
   before(async () => {
-    platform = await startPlatform({ engines: 2, services: 1 })
+    platform = await startTestPlatform({ engines: 2, services: 1 })
     cluster = await platform.startCluster([{ name: 'abdali-1', place: 'Abdali' }, { name: 'marka-1', place: 'Marka' }])
     await platform.configure(cluster)
   })
@@ -21,7 +21,7 @@
     await platform.close()
   })
 
-  it('answers a completion whole, with the versions that produced it', async () => {
+  it('returns a complete completion with the weight versions that produced it', async () => {
     const answer = await call(cluster.host(0).address, '/v1/lanes/desk/completions', { body: { prompt: 'Dear family', max_tokens: 16 } })
     expect(answer.status).to.equal(200)
     expect(answer.body.whole).to.equal(true)
@@ -34,7 +34,7 @@
     expect(answer.body.path).to.equal('/status/12')
   })
 
-  it('runs a call once however often and wherever it is repeated', async () => {
+  it('runs a call once even if it is repeated, also on another host', async () => {
     const headers = { 'x-request-id': 'entry-1', 'x-issued-at': String(Date.now()), 'x-idempotent': 'false' }
     const first = await call(cluster.host(0).address, '/v1/lanes/bookings/services/ledger', { headers, body: { flat: 12 } })
     expect(first.status).to.equal(200)
@@ -44,7 +44,7 @@
     expect(platform.services[0]?.service.ran.filter(({ id }) => id === 'entry-1')).to.have.length(1)
   })
 
-  it('brings each sample of a submitted group to the trainer once', async () => {
+  it('delivers each sample of a submitted group to the trainer exactly once', async () => {
     const groups = Array.from({ length: 4 }, (_, index) => ({ id: `g${index}`, step: 0, prompt: `prompt ${index}`, samples: 4, issued_at: Date.now() }))
     const submitted = await call(cluster.host(0).address, '/v1/subscriptions/drafts/groups', { key: keys.trainer, body: { groups } })
     expect(submitted.status).to.equal(200)
@@ -63,8 +63,8 @@
     expect([...seen.values()].every((count) => count === 1)).to.equal(true)
   })
 
-  it('brings new weights to every engine', async () => {
-    await cluster.order('load weights 2 on pool drafter')
+  it('loads new weights on every engine', async () => {
+    await cluster.execute('load weights 2 on pool drafter')
     await waitUntil(() => platform.engines.every(({ engine }) => engine.version === 2), 8000, 'weights 2 on all engines')
     await waitUntil(async () => (await cluster.host(0).rows('show targets where type = engine and weights = 2')).length === 2, 5000, 'targets report weights 2')
   })
--- a/test/platform/boundary.test.ts
+++ b/test/platform/boundary.test.ts
@@ -1,13 +1,14 @@
 /**
- * The names of the prepared platform stay in `platform/`, `deploy/` and these tests. A name that
- * leaks makes two vocabularies of one, and the next change of the platform a change of the product.
+ * Tests that the names of the platform's wire protocols occur only in `platform/`, `deploy/` and these
+ * tests. A name elsewhere would duplicate the vocabulary, and a change of the platform would then
+ * require a change of the product.
  */
 
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { expect } from 'chai'
 
-/** Headers, addresses, topics, fields and words of the wire that are not the product's own. */
+/** Headers, paths, topics, fields and values of the wire protocols that are not part of the product. */
 const wireNames: readonly RegExp[] = [
   /bulrushvalve-(request-id|deadline-ms|expect-|response-seal|not-run|server-load|wait-ms|weight-versions|length-hint|token-usage|prompt-prefix|request-urgency|instance-id|model|pin-ms|hold|kv-)/i,
   /BULRUSHVALVE_NODE_FILE/,
@@ -30,11 +31,11 @@
 }
 
 describe("the platform's names", () => {
-  it('stay out of the product', () => {
+  it('do not occur in the product', () => {
     expect(folders.flatMap(filesIn).flatMap(leaks)).to.deep.equal([])
   })
 
-  it('would be found', () => {
+  it('are found where they occur', () => {
     expect(filesIn('platform').flatMap(leaks)).to.not.deep.equal([])
   })
 
--- a/test/platform/cutStreams.test.ts
+++ b/test/platform/cutStreams.test.ts
@@ -1,4 +1,4 @@
-/** Streams that end early, as callers see them who know no chunked coding. */
+/** Tests streams that end early, as seen by callers with and without chunked transfer coding. */
 
 import { expect } from 'chai'
 import { pause } from '../../standins/httpStandIn.ts'
@@ -18,27 +18,27 @@
 
   afterEach(async () => { await fleet.stop() })
 
-  it('is reset for a caller of HTTP/1.0 where its engine broke off', async () => {
-    // Guards against a cut stream that looks whole: without chunks the end of the connection is the end of the answer.
+  it('is reset for an HTTP/1.0 caller if its engine resets the connection', async () => {
+    // Guards against an interrupted stream that appears complete: without chunks, the end of the connection ends the response.
     fleet.target('e-0').fault = 'breaks'
     const { text, end } = await readStream(fleet, '1.0', 6)
     expect([text.slice(0, 15), eventNumbers(text), end]).to.deep.equal(['HTTP/1.1 200 OK', [0, 1], 'reset'])
   })
 
-  it('lacks its last chunk for a caller of HTTP/1.1', async () => {
+  it('lacks its last chunk for an HTTP/1.1 caller', async () => {
     fleet.target('e-0').fault = 'breaks'
     const answer = await readStream(fleet, '1.1', 6)
     expect([eventNumbers(answer.text), hasLastChunk(answer)]).to.deep.equal([[0, 1], false])
   })
 
-  it('ends in order for both where it is whole', async () => {
+  it('ends normally for both if it is complete', async () => {
     const [older, newer] = await Promise.all([readStream(fleet, '1.0', 6), readStream(fleet, '1.1', 6)])
     expect([eventNumbers(older.text), older.end]).to.deep.equal([[0, 1, 2, 3, 4, 5], 'ended'])
     expect([eventNumbers(newer.text), hasLastChunk(newer)]).to.deep.equal([[0, 1, 2, 3, 4, 5], true])
   })
 
-  it('is reset for a caller of HTTP/1.0 where its host stops and waits no longer', async () => {
-    // Guards against a stop that ends open streams in order.
+  it('is reset for an HTTP/1.0 caller if the shutdown time-out of its host expires', async () => {
+    // Guards against a shutdown that ends open streams as if they were complete.
     const reading = readStream(fleet, '1.0', 2000)
     await waitUntil(() => fleet.target('e-0').runs.some(({ ended }) => ended === 'open'), 3000, 'the stream runs')
     await pause(100)
--- a/test/platform/support/dutyStandIn.ts
+++ b/test/platform/support/dutyStandIn.ts
@@ -1,13 +1,14 @@
 /**
- * A stand-in for the platform's interface for duties. It judges what it gets: two reports for one window that differ, numbers of
- * holders that fall, two holders with one number, holders that take turns within a lease, and more calls than it allows.
+ * Stand-in for the platform's duty interface. It records violations of the protocol: different reports for the same window,
+ * decreasing fencing tokens, two holders with the same token, and holders that alternate within a lease. Calls above the
+ * rate limit are refused.
  */
 
 import type { Server } from 'node:http'
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
-/** How the interface treats its callers; `unanswered`: calls are done and get no answer. */
+/** Injected fault: `many` responds with 429, `down` with 503; `silent` ignores calls, and `unanswered` processes them without a response. */
 export type DutyFault = 'none' | 'many' | 'down' | 'silent' | 'unanswered'
 
 export interface UsageReport {
@@ -18,26 +19,25 @@
   readonly at: number
 }
 
-/** Holders that take turns within this time act at once, in milliseconds. */
+/** Holders that alternate within this time count as acting concurrently. */
 const LEASE_MS = 3000
-/** Calls a second that are taken. */
-const MOST_CALLS = 50
+const MAX_CALLS_PER_SECOND = 50
 
 export class DutyStandIn {
   readonly reports: UsageReport[] = []
   readonly violations: string[] = []
   fault: DutyFault = 'none'
   address = ''
-  private readonly calls: number[] = []
+  private readonly callTimes: number[] = []
 
   private constructor (private readonly server: Server) {}
 
   static async start (): Promise<DutyStandIn> {
     const server = createServer((request, response) => {
-      const pieces: Buffer[] = []
-      request.on('data', (piece: Buffer) => { pieces.push(piece) })
+      const chunks: Buffer[] = []
+      request.on('data', (chunk: Buffer) => { chunks.push(chunk) })
       request.on('end', () => {
-        const status = standIn.receive(request.url ?? '', request.headers, Buffer.concat(pieces).toString('utf8'))
+        const status = standIn.receive(request.url ?? '', request.headers, Buffer.concat(chunks).toString('utf8'))
         if (status === undefined) return
         response.writeHead(status).end()
       })
@@ -53,7 +53,7 @@
     await new Promise<void>((resolve) => { this.server.close(() => { resolve() }) })
   }
 
-  /** Counts of a window, as reported. */
+  /** Returns the reported counts of a window. */
   counts (window: number): Readonly<Record<string, number>> | undefined {
     return this.reports.find((report) => report.window === window)?.counts
   }
@@ -61,29 +61,29 @@
   private receive (path: string, headers: Readonly<Record<string, string | string[] | undefined>>, body: string): number | undefined {
     if (this.fault === 'silent') return undefined
     if (this.fault === 'down') return 503
-    if (this.fault === 'many' || this.isTooMany()) return 429
+    if (this.fault === 'many' || this.exceedsRateLimit()) return 429
     if (path !== '/usage') return 404
     const { window_id: window, counts } = JSON.parse(body) as { window_id: number, counts: Record<string, number> }
-    this.judge({ window, counts, holder: String(headers['bulrushvalve-duty-holder']), fence: Number(headers['bulrushvalve-fence-token']), at: Date.now() })
+    this.checkReport({ window, counts, holder: String(headers['bulrushvalve-duty-holder']), fence: Number(headers['bulrushvalve-fence-token']), at: Date.now() })
     return this.fault === 'unanswered' ? undefined : 200
   }
 
-  private isTooMany (): boolean {
+  private exceedsRateLimit (): boolean {
     const now = Date.now()
-    while ((this.calls[0] ?? now) < now - 1000) this.calls.shift()
-    this.calls.push(now)
-    return this.calls.length > MOST_CALLS
+    while ((this.callTimes[0] ?? now) < now - 1000) this.callTimes.shift()
+    this.callTimes.push(now)
+    return this.callTimes.length > MAX_CALLS_PER_SECOND
   }
 
-  private judge (report: UsageReport): void {
+  private checkReport (report: UsageReport): void {
     const { window, holder, fence, at } = report
-    const known = this.reports.find((other) => other.window === window)
-    if (known !== undefined && JSON.stringify(known.counts) !== JSON.stringify(report.counts)) this.violations.push(`window ${window} was reported twice with different counts`)
-    const former = this.reports.at(-1)
-    if (former !== undefined && (fence < former.fence || (fence === former.fence && holder !== former.holder))) this.violations.push(`${holder} came with number ${fence} after ${former.holder} with ${former.fence}`)
-    const before = this.reports.findLastIndex((other) => other.holder !== holder)
-    const turn = this.reports.slice(0, Math.max(0, before)).findLast((other) => other.holder === holder)
-    if (before === this.reports.length - 1 && turn !== undefined && at - turn.at < LEASE_MS) this.violations.push(`${holder} acts again ${at - turn.at} ms after another holder came between`)
+    const earlier = this.reports.find((other) => other.window === window)
+    if (earlier !== undefined && JSON.stringify(earlier.counts) !== JSON.stringify(report.counts)) this.violations.push(`window ${window} was reported twice with different counts`)
+    const previous = this.reports.at(-1)
+    if (previous !== undefined && (fence < previous.fence || (fence === previous.fence && holder !== previous.holder))) this.violations.push(`${holder} used fencing token ${fence} after ${previous.holder} had used ${previous.fence}`)
+    const lastOfOtherHolder = this.reports.findLastIndex((other) => other.holder !== holder)
+    const earlierOfSameHolder = this.reports.slice(0, Math.max(0, lastOfOtherHolder)).findLast((other) => other.holder === holder)
+    if (lastOfOtherHolder === this.reports.length - 1 && earlierOfSameHolder !== undefined && at - earlierOfSameHolder.at < LEASE_MS) this.violations.push(`${holder} acted again after ${at - earlierOfSameHolder.at} ms, although another holder had acted in between`)
     this.reports.push(report)
   }
 }
--- a/test/platform/support/fleet.ts
+++ b/test/platform/support/fleet.ts
@@ -1,4 +1,4 @@
-/** Hosts as separate processes over a stand-in of the prepared platform. Each has an address of its own in 127.0.0.0/8, and all use the same ports, as on the platform. */
+/** Starts hosts as separate processes against stand-ins of the platform. Each host has its own address in 127.0.0.0/8, and all use the same ports, as on the platform. */
 
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -6,7 +6,7 @@
 import { stringify } from 'smol-toml'
 import { request } from 'undici'
 import { HostProcess, PROGRAM, freePorts, waitUntil } from '../../support/hostProcess.ts'
-import type { StoreDoor } from './storeStandIn.ts'
+import type { StoreEndpoint } from './storeStandIn.ts'
 import { StoreStandIn } from './storeStandIn.ts'
 import type { TargetOptions } from './targetStandIn.ts'
 import { TargetStandIn } from './targetStandIn.ts'
@@ -14,8 +14,8 @@
 export interface FleetHost {
   readonly name: string
   readonly process: HostProcess
-  readonly door: StoreDoor
-  /** Where callers connect. */
+  readonly storeEndpoint: StoreEndpoint
+  /** URL of the address for callers. */
   readonly address: string
   readonly directory: string
   readonly settingsPath: string
@@ -37,8 +37,8 @@
 
 export const CALLS_HOST = 'calls.example'
 
-/** The configuration that an operator writes; `details` of a route go over it by name. */
-export function configuration (version: number, details: Record<string, object> = {}): object {
+/** Returns a configuration as an operator writes it; `overrides` replace fields of the routes, by route name. */
+export function configuration (version: number, overrides: Record<string, object> = {}): object {
   const routes = [
     { name: 'look-up', host: CALLS_HOST, path_prefix: '/look-up/', route_type: 'idempotent', timeout_ms: 1500, slo_ms: 300, priority: 2, service: 'app', attempts: 2 },
     { name: 'entry', host: CALLS_HOST, path_prefix: '/entry/', route_type: 'non_idempotent', timeout_ms: 1500, slo_ms: 300, priority: 2, service: 'app', attempts: 1 },
@@ -48,15 +48,15 @@
   ]
   return {
     version,
-    routes: routes.map((route) => ({ ...route, ...details[route.name] })),
+    routes: routes.map((route) => ({ ...route, ...overrides[route.name] })),
     services: [{ name: 'app', health_path: '/health', max_conns: 50 }, { name: 'engines', health_path: '/health', max_conns: 50, engine: { slots: 4, kv_cap_tokens: 10000, models: [{ name: 'm' }] } }],
     limits: { max_header_bytes: 16384, max_body_bytes: 200_000, header_timeout_ms: 3000, idle_timeout_ms: 15000 }
   }
 }
 
 export interface FleetOptions {
-  /** Gives the address under which a host reaches its door of the store, in place of the door's own. */
-  readonly wayToStore?: (door: string, host: number) => Promise<string>
+  /** Returns the address at which a host reaches its store endpoint, in place of the endpoint's own address. */
+  readonly storeAddressFor?: (endpoint: string, host: number) => Promise<string>
 }
 
 export class Fleet {
@@ -65,16 +65,16 @@
 
   private constructor (readonly store: StoreStandIn, readonly hosts: readonly FleetHost[], private readonly folder: string) {}
 
-  /** Starts hosts and waits until all are ready. */
-  static async start (count: number, targets: readonly TargetOptions[], settings: Record<string, Record<string, unknown>> = {}, { wayToStore }: FleetOptions = {}): Promise<Fleet> {
+  /** Starts a number of hosts and waits until all of them are ready. */
+  static async start (count: number, targets: readonly TargetOptions[], settings: Record<string, Record<string, unknown>> = {}, { storeAddressFor: wayToStore }: FleetOptions = {}): Promise<Fleet> {
     const store = new StoreStandIn()
     const folder = mkdtempSync(join(tmpdir(), 'fleet-'))
     const ip = (index: number): string => `127.0.1.${index + 1}`
     const [callers = 0, readiness = 0, peers = 0, directory = 0] = await freePorts(4, Array.from({ length: count }, (_, index) => ip(index)))
     const hosts = await Promise.all(Array.from({ length: count }, async (_, index): Promise<FleetHost> => {
       const name = `host-${index}`
-      const door = await store.open()
-      const storeAddress = wayToStore === undefined ? door.address : await wayToStore(door.address, index)
+      const endpoint = await store.openEndpoint()
+      const storeAddress = wayToStore === undefined ? endpoint.address : await wayToStore(endpoint.address, index)
       const settingsPath = join(folder, `${name}.toml`)
       writeFileSync(settingsPath, stringify({
         host: { name, place: `place-${index % 3}`, ...settings.host },
@@ -88,14 +88,14 @@
         identity: { ...settings.identity },
         ...(settings.usage === undefined ? {} : { usage: settings.usage })
       } as unknown as Record<string, Record<string, unknown>>))
-      return { name, door, settingsPath, address: `http://${ip(index)}:${callers}`, directory: `http://${ip(index)}:${directory}`, process: new HostProcess(name, '', '', settingsPath, PROGRAM) }
+      return { name, storeEndpoint: endpoint, settingsPath, address: `http://${ip(index)}:${callers}`, directory: `http://${ip(index)}:${directory}`, process: new HostProcess(name, '', '', settingsPath, PROGRAM) }
     }))
     const fleet = new Fleet(store, hosts, folder)
     store.put('keyed.op', 'config', configuration(1))
     try {
       for (const options of targets) await fleet.addTarget(options)
       for (const { process } of hosts) process.start()
-      for (const host of hosts) await fleet.whenReady(host)
+      for (const host of hosts) await fleet.waitUntilReady(host)
     } catch (error) {
       await fleet.stop()
       throw error
@@ -103,7 +103,7 @@
     return fleet
   }
 
-  /** Starts a target; `port` is that of a former one whose address it has. */
+  /** Starts a target; `port` lets it reuse the address of a former target. */
   async addTarget (options: TargetOptions, port?: number): Promise<TargetStandIn> {
     const target = await new TargetStandIn(options, this.store).start(port)
     this.targets.push(target)
@@ -122,18 +122,17 @@
     return target
   }
 
-  async whenReady (host: FleetHost): Promise<void> {
+  async waitUntilReady (host: FleetHost): Promise<void> {
     await waitUntil(async () => (await this.resolve(host)).includes(host.address.replace('http://', '')), 20_000, () => `${host.name} is ready\n${host.process.output}`)
   }
 
-  /** Addresses that a host gives to callers. */
+  /** Returns the host addresses that a host advertises to callers. */
   async resolve (host: FleetHost): Promise<string[]> {
     const answer = await request(`${host.directory}/resolve?name=${CALLS_HOST}&region=r&zone=place-0`)
     const body = await answer.body.json() as { addrs?: string[] }
     return body.addrs ?? []
   }
 
-  /** Sends a request to a host. */
   async call (host: FleetHost, path: string, { method = 'POST', host: name = CALLS_HOST, id, headers = {}, body }: CallDetails = {}): Promise<Reply> {
     const answer = await request(`${host.address}${path}`, {
       method: method as 'POST',
@@ -148,8 +147,8 @@
     return `id-${this.next++}`
   }
 
-  /** Body of a submission: groups of items, each of so many events. */
-  stepBody (groups: readonly (readonly number[])[], details: Record<string, unknown> = {}): string {
+  /** Returns the body of a submission; `groups` lists the number of events of each item of each group. */
+  stepBody (groups: readonly (readonly number[])[], overrides: Record<string, unknown> = {}): string {
     const items = groups.flatMap((events, group) => events.map((count, index) => ({
       id: `item-${group}-${index}`,
       path: `/steps/events-${count}/${group}-${index}`,
@@ -159,15 +158,15 @@
       group: `group-${group}`,
       scorer: { id: `score-${group}-${index}`, host: CALLS_HOST, path: `/score/${group}-${index}`, body: '' }
     })))
-    return JSON.stringify({ step: 0, model: 'm', min_version: 1, group_count: groups.length, items, ...details })
+    return JSON.stringify({ step: 0, model: 'm', min_version: 1, group_count: groups.length, items, ...overrides })
   }
 
-  async submit (host: FleetHost, id: string, groups: readonly (readonly number[])[], details: Record<string, unknown> = {}): Promise<Reply> {
-    return await this.call(host, `/steps/${id}`, { id, body: this.stepBody(groups, details), headers: { 'content-type': 'application/json' } })
+  async submit (host: FleetHost, id: string, groups: readonly (readonly number[])[], overrides: Record<string, unknown> = {}): Promise<Reply> {
+    return await this.call(host, `/steps/${id}`, { id, body: this.stepBody(groups, overrides), headers: { 'content-type': 'application/json' } })
   }
 
-  /** Submits a step with headers of its caller. */
-  async submitWith (host: FleetHost, id: string, groups: readonly (readonly number[])[], headers: Record<string, string>): Promise<Reply> {
+  /** Submits a step with additional headers. */
+  async submitWithHeaders (host: FleetHost, id: string, groups: readonly (readonly number[])[], headers: Record<string, string>): Promise<Reply> {
     return await this.call(host, `/steps/${id}`, { id, body: this.stepBody(groups), headers: { 'content-type': 'application/json', ...headers } })
   }
 
@@ -177,27 +176,27 @@
     return JSON.parse(answer.text) as Awaited<ReturnType<Fleet['results']>>
   }
 
-  async whenWhole (host: FleetHost, id: string, timeoutMs = 15_000): Promise<Awaited<ReturnType<Fleet['results']>>> {
+  async waitUntilComplete (host: FleetHost, id: string, timeoutMs = 15_000): Promise<Awaited<ReturnType<Fleet['results']>>> {
     let page: Awaited<ReturnType<Fleet['results']>> | undefined
     await waitUntil(async () => {
       page = await this.results(host, id)
       return page.results.length === page.total
-    }, timeoutMs, () => `step ${id} is whole\n${this.hosts.map(({ process }) => process.output).join('\n')}`)
-    if (page === undefined) throw new Error('no results')
+    }, timeoutMs, () => `step ${id} is complete\n${this.hosts.map(({ process }) => process.output).join('\n')}`)
+    if (page === undefined) throw new Error(`step ${id} has no page of results`)
     return page
   }
 
-  /** The host that holds the steps' duty, by the store's own records. */
-  holder (): FleetHost {
+  /** Returns the host that holds the steps' duty according to the records in the store. */
+  dutyHolder (): FleetHost {
     const claims = [...this.store.newest('keyed.bulrushvalve')].filter(([key]) => key.startsWith('claim/')).map(([, { value }]) => JSON.parse(value) as { holder: string, term: number })
     const newest = claims.sort((a, b) => b.term - a.term)[0]
     const host = this.hosts.find(({ name }) => newest?.holder.startsWith(`${name}/`) === true)
-    if (host === undefined) throw new Error('nobody holds the duty')
+    if (host === undefined) throw new Error('no host holds the duty')
     return host
   }
 
   async stop (): Promise<void> {
-    for (const { process } of this.hosts) process.wake()
+    for (const { process } of this.hosts) process.resume()
     await Promise.all(this.hosts.map(async ({ process }) => { await process.kill() }))
     await Promise.all(this.targets.map(async (target) => { await target.kill() }))
     await this.store.close()
--- a/test/platform/support/targetStandIn.ts
+++ b/test/platform/support/targetStandIn.ts
@@ -1,15 +1,15 @@
 /**
- * Stand-ins for the prepared platform's targets: engines that stream and load weights, and plain
- * workers. They register themselves, keep their own record of what they ran, and misbehave on demand.
+ * Stand-ins for the platform's targets: engines that stream and load weights, and plain workers. They
+ * register themselves, record the requests and orders that they receive, and inject faults on demand.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
-import { drained } from '../../../src/entry/node/backpressure.ts'
+import { waitForDrain } from '../../../src/entry/node/backpressure.ts'
 import type { StoreStandIn } from './storeStandIn.ts'
 
-/** How a target treats the next requests. */
+/** Fault injected into the next requests to a target. */
 export type TargetFault = 'none' | 'full' | 'fails' | 'resets' | 'silent' | 'foreign' | 'unsealed' | 'short' | 'extra' | 'breaks' | 'impossible'
 
 export interface RunRecord {
@@ -20,9 +20,9 @@
   readonly headers: IncomingMessage['headers']
   readonly at: number
   ended: 'open' | 'answered' | 'dropped'
-  /** When it was dropped, in milliseconds since the epoch. */
+  /** Time at which the connection was dropped, in Unix milliseconds. */
   droppedAt?: number
-  /** The whole answer, once it was given. */
+  /** Complete response, once it was sent. */
   answer?: { readonly status: number, readonly body: string }
 }
 
@@ -44,26 +44,26 @@
 
 export interface EngineOptions {
   readonly models: readonly string[]
-  /** Time between two events, in milliseconds. */
+  /** Interval between events, in milliseconds. */
   readonly eventMs: number
   readonly loadMs: number
-  /** Bytes of an event, about; with them events come as fast as they are read, in place of one after the other. */
+  /** Approximate size of an event in bytes. If set, events are sent as fast as they are read instead of at an interval. */
   readonly eventBytes?: number
-  /** Whether the data of an event tells the run that made it, too. */
-  readonly namesRuns?: boolean
+  /** Whether the data of an event also identifies the run that generated it. */
+  readonly labelsEvents?: boolean
 }
 
-/** An event as its data tells it, where the engine names its runs. */
-export interface MadeEvent {
+/** Decoded data of an event that identifies its run. */
+export interface LabelledEvent {
   readonly item: string
   readonly number: number
   readonly engine: string
-  /** Place of the run among those of its engine. */
+  /** Index of the run among the runs of its engine. */
   readonly run: number
 }
 
-/** Reads the data of an event of an engine that names its runs. */
-export function readMadeEvent (data: string): MadeEvent | undefined {
+/** Parses the data of an event that identifies its run. */
+export function parseLabelledEvent (data: string): LabelledEvent | undefined {
   const match = /^(?<item>.+)-(?<number>\d+) of (?<engine>\S+) run (?<run>\d+)$/.exec(data)?.groups
   return match === undefined ? undefined : { item: match['item'] ?? '', number: Number(match['number']), engine: match['engine'] ?? '', run: Number(match['run']) }
 }
@@ -73,21 +73,21 @@
   readonly service: string
   readonly place: string
   readonly slots?: number
-  /** Present for engines. */
+  /** Set for engines. */
   readonly engine?: EngineOptions
-  /** Time for an answer of a plain worker, in milliseconds. */
-  readonly answerMs?: number
-  /** Unix milliseconds of its first start; absent for targets that do not tell. */
+  /** Time that a plain worker takes to respond, in milliseconds. */
+  readonly responseDelayMs?: number
+  /** Time of the first start in Unix milliseconds; absent for targets that do not report it. */
   readonly born?: number
-  /** Present for targets whose process ends while it runs certain requests. */
-  readonly ends?: EndOptions
+  /** Set for targets that crash while they run certain requests. */
+  readonly ends?: CrashOptions
 }
 
-export interface EndOptions {
+export interface CrashOptions {
   readonly under: (run: RunRecord) => boolean
-  /** Time from the begin of the run to the end of the process, in milliseconds. */
+  /** Time from the start of the run to the crash, in milliseconds. */
   readonly afterMs: number
-  readonly onEnd: (target: TargetStandIn, run: RunRecord) => void
+  readonly onCrash: (target: TargetStandIn, run: RunRecord) => void
 }
 
 export class TargetStandIn {
@@ -95,33 +95,31 @@
   readonly orders: OrderRecord[] = []
   readonly versions = new Map<string, number>()
   fault: TargetFault = 'none'
-  /** So many requests meet the fault; the following ones do not. */
+  /** Number of further requests into which the fault is injected. */
   faults = Number.POSITIVE_INFINITY
-  /** Events of a run; by default two and the number in the item's path after `events-`. */
   draining = false
   private loading: string | undefined
   private server: Server | undefined
-  /** Servers of former lives: their connections stay open and are silent. */
+  /** Servers of former incarnations, whose connections stay open without sending data. */
   private readonly formerServers: Server[] = []
-  private lives = 0
-  /** Whether its process has ended. */
-  private over = false
-  /** Orders of the present life. */
+  private restarts = 0
+  private isKilled = false
+  /** Number of orders accepted by the current incarnation. */
   private accepted = 0
   address = ''
 
   constructor (readonly options: TargetOptions, private readonly store: StoreStandIn) {
-    this.beginLife()
+    this.resetState()
   }
 
-  private beginLife (): void {
+  private resetState (): void {
     this.accepted = 0
     this.loading = undefined
     for (const model of this.options.engine?.models ?? []) this.versions.set(model, 1)
   }
 
-  private get toldStart (): object {
-    return this.options.born === undefined ? {} : { born: this.options.born + this.lives }
+  private get reportedStart (): object {
+    return this.options.born === undefined ? {} : { born: this.options.born + this.restarts }
   }
 
   async start (port = 0): Promise<this> {
@@ -133,19 +131,19 @@
     return this
   }
 
-  /** Loses its power and starts again under its id at another port: whatever was under way is silent for good. */
+  /** Simulates a power loss and a restart under the same id at another port. Connections of the former incarnation never send data again. */
   async restart (): Promise<void> {
-    this.lives++
+    this.restarts++
     if (this.server !== undefined) this.formerServers.push(this.server)
-    this.beginLife()
+    this.resetState()
     await this.start()
   }
 
   register (): void {
-    if (this.over) return
+    if (this.isKilled) return
     const { id, service, place, slots = 4 } = this.options
     const models = [...this.versions].map(([name, version]) => ({ name, version, adapters: [] }))
-    this.store.put('keyed.servers', id, { service, addr: this.address, zone: place, version: 'v1', slots, state: this.draining ? 'draining' : 'ready', cold_left_ms: 0, seq: 1, ...this.toldStart, ...(models.length > 0 ? { stage: 'both', models } : {}) })
+    this.store.put('keyed.servers', id, { service, addr: this.address, zone: place, version: 'v1', slots, state: this.draining ? 'draining' : 'ready', cold_left_ms: 0, seq: 1, ...this.reportedStart, ...(models.length > 0 ? { stage: 'both', models } : {}) })
   }
 
   drain (): void {
@@ -153,13 +151,13 @@
     this.register()
   }
 
-  leave (): void {
+  deregister (): void {
     this.store.put('keyed.servers', this.options.id, undefined)
   }
 
-  /** Dies without a word. */
+  /** Ends the process without deregistering. */
   async kill (): Promise<void> {
-    this.over = true
+    this.isKilled = true
     for (const server of [...this.formerServers, this.server]) {
       server?.closeAllConnections()
       await new Promise<void>((resolve) => { server === undefined ? resolve() : server.close(() => { resolve() }) })
@@ -167,11 +165,11 @@
   }
 
   private async receive (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const pieces: Buffer[] = []
-    for await (const piece of request as AsyncIterable<Buffer>) pieces.push(piece)
-    const body = Buffer.concat(pieces).toString('utf8')
+    const chunks: Buffer[] = []
+    for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk)
+    const body = Buffer.concat(chunks).toString('utf8')
     const expected = request.headers['bulrushvalve-expect-instance']
-    if (expected !== undefined && expected !== this.options.id) return answer(response, 421, { 'bulrushvalve-instance-id': this.options.id }, '')
+    if (expected !== undefined && expected !== this.options.id) return respond(response, 421, { 'bulrushvalve-instance-id': this.options.id }, '')
     if (request.url === '/report') return this.report(response)
     if (request.url === '/order') return this.order(response, JSON.parse(body) as OrderBody)
     await this.run(request, response, body)
@@ -179,61 +177,61 @@
 
   private report (response: ServerResponse): void {
     const models = [...this.versions].map(([name, version]) => ({ name, version, adapters: [] }))
-    answer(response, 200, { 'content-type': 'application/json' }, JSON.stringify({ stage: 'both', models, busy: this.loading !== undefined, seq: this.accepted, ...this.toldStart, waiting: 0, running: 0, kv_used: 0, kv_total: 1, handles: 0 }))
+    respond(response, 200, { 'content-type': 'application/json' }, JSON.stringify({ stage: 'both', models, busy: this.loading !== undefined, seq: this.accepted, ...this.reportedStart, waiting: 0, running: 0, kv_used: 0, kv_total: 1, handles: 0 }))
   }
 
   private order (response: ServerResponse, { holder, fence, model, version, precondition }: OrderBody): void {
-    if (this.loading !== undefined || (precondition !== undefined && precondition !== this.accepted)) return answer(response, 409, {}, '')
+    if (this.loading !== undefined || (precondition !== undefined && precondition !== this.accepted)) return respond(response, 409, {}, '')
     this.accepted++
     this.orders.push({ holder, fence, model, version, at: Date.now() })
     this.loading = model
-    const { lives } = this
+    const { restarts } = this
     setTimeout(() => {
-      if (lives !== this.lives) return
+      if (restarts !== this.restarts) return
       this.versions.set(model, version)
       this.loading = undefined
       this.register()
     }, this.options.engine?.loadMs ?? 0)
-    answer(response, 202, {}, '')
+    respond(response, 202, {}, '')
   }
 
   private async run (request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
     const id = String(request.headers['bulrushvalve-request-id'])
     const fault = this.takeFault()
     const model = String(request.headers['bulrushvalve-model'] ?? '')
-    if (fault === 'full' || (this.loading !== undefined && this.loading === model)) return answer(response, 503, { 'bulrushvalve-not-run': '1', 'bulrushvalve-request-id': id }, '')
+    if (fault === 'full' || (this.loading !== undefined && this.loading === model)) return respond(response, 503, { 'bulrushvalve-not-run': '1', 'bulrushvalve-request-id': id }, '')
     const record: RunRecord = { id, path: request.url ?? '', method: request.method ?? '', body, headers: request.headers, at: Date.now(), ended: 'open' }
     this.runs.push(record)
     response.once('close', () => { if (record.ended === 'open') Object.assign(record, { ended: 'dropped', droppedAt: Date.now() }) })
     const seal = `seal-of-${id}`
-    const own = { 'bulrushvalve-request-id': id, 'bulrushvalve-response-seal': seal, 'bulrushvalve-server-load': `${this.runs.filter(({ ended }) => ended === 'open').length},0,${this.options.slots ?? 4}` }
+    const ownHeaders = { 'bulrushvalve-request-id': id, 'bulrushvalve-response-seal': seal, 'bulrushvalve-server-load': `${this.runs.filter(({ ended }) => ended === 'open').length},0,${this.options.slots ?? 4}` }
     switch (fault) {
       case 'resets': request.socket.resetAndDestroy(); return
       case 'silent': return
-      case 'impossible': return finish(record, response, 422, own, '')
-      case 'fails': return finish(record, response, 500, own, 'failed')
-      case 'foreign': return finish(record, response, 200, { ...own, 'bulrushvalve-request-id': 'another' }, 'not yours')
-      case 'unsealed': return finish(record, response, 200, { 'bulrushvalve-request-id': id }, 'no seal')
+      case 'impossible': return respondToRun(record, response, 422, ownHeaders, '')
+      case 'fails': return respondToRun(record, response, 500, ownHeaders, 'failed')
+      case 'foreign': return respondToRun(record, response, 200, { ...ownHeaders, 'bulrushvalve-request-id': 'another' }, 'not yours')
+      case 'unsealed': return respondToRun(record, response, 200, { 'bulrushvalve-request-id': id }, 'no seal')
       case 'short':
-        response.writeHead(200, { ...own, 'content-length': '100' })
+        response.writeHead(200, { ...ownHeaders, 'content-length': '100' })
         response.write('half', () => { request.socket.resetAndDestroy() })
         return
       case 'extra':
-        finish(record, response, 200, own, `whole ${id}`)
+        respondToRun(record, response, 200, ownHeaders, `whole ${id}`)
         request.socket.write('HTTP/1.1 200 OK\r\nbulrushvalve-request-id: another\r\nbulrushvalve-response-seal: x\r\ncontent-length: 3\r\n\r\nbad')
         return
       default: break
     }
-    const { ends } = this.options
-    if (ends?.under(record) === true) {
-      await delay(ends.afterMs)
-      if (record.ended !== 'open' || this.over) return
+    const { ends: crash } = this.options
+    if (crash?.under(record) === true) {
+      await delay(crash.afterMs)
+      if (record.ended !== 'open' || this.isKilled) return
       await this.kill()
-      return ends.onEnd(this, record)
+      return crash.onCrash(this, record)
     }
-    if (this.options.engine !== undefined) return await this.stream(record, request, response, own, fault === 'breaks')
-    await delay(this.options.answerMs ?? 5)
-    finish(record, response, 200, own, `${this.options.id} answers ${id}`)
+    if (this.options.engine !== undefined) return await this.stream(record, request, response, ownHeaders, fault === 'breaks')
+    await delay(this.options.responseDelayMs ?? 5)
+    respondToRun(record, response, 200, ownHeaders, `${this.options.id} answers ${id}`)
   }
 
   private takeFault (): TargetFault {
@@ -242,27 +240,27 @@
     return this.fault
   }
 
-  /** Events with numbers from 0; an event at which the version changed says so in its first line. */
-  private async stream (record: RunRecord, request: IncomingMessage, response: ServerResponse, own: Record<string, string>, breaks: boolean): Promise<void> {
+  /** Streams numbered events, from 0 or after the last event id. If the weight version changes, the event starts with a line that states it. */
+  private async stream (record: RunRecord, request: IncomingMessage, response: ServerResponse, ownHeaders: Record<string, string>, breaks: boolean): Promise<void> {
     const model = String(request.headers['bulrushvalve-model'] ?? '')
-    const last = request.headers['last-event-id']
+    const lastEventId = request.headers['last-event-id']
     const count = Number(/events-(\d+)/.exec(record.path)?.[1] ?? 3)
-    const begin = last === undefined ? 0 : Number(last) + 1
-    const made = this.options.engine?.namesRuns === true ? ` of ${this.options.id} run ${this.runs.indexOf(record)}` : ''
+    const firstNumber = lastEventId === undefined ? 0 : Number(lastEventId) + 1
+    const label = this.options.engine?.labelsEvents === true ? ` of ${this.options.id} run ${this.runs.indexOf(record)}` : ''
     const { eventMs = 1, eventBytes } = this.options.engine ?? {}
     const padding = 'x'.repeat(eventBytes ?? 0)
     let version = this.versions.get(model) ?? 1
-    const { lives } = this
-    response.writeHead(200, { ...own, 'content-type': 'text/event-stream', 'bulrushvalve-weight-versions': String(version) })
-    for (let number = begin; number < count; number++) {
+    const { restarts } = this
+    response.writeHead(200, { ...ownHeaders, 'content-type': 'text/event-stream', 'bulrushvalve-weight-versions': String(version) })
+    for (let number = firstNumber; number < count; number++) {
       if (eventBytes === undefined) await delay(eventMs)
-      if (response.destroyed || lives !== this.lives) return
-      const now = this.versions.get(model) ?? 1
-      const changed = now === version ? '' : `bulrushvalve-weight-versions: ${now}\n`
-      version = now
-      const keepsUp = response.write(`${changed}id: ${number}\ndata: ${record.id}-${number}${made}${padding}\n\n`)
-      if (eventBytes !== undefined && !keepsUp) await drained(response)
-      if (breaks && number === begin + 1) {
+      if (response.destroyed || restarts !== this.restarts) return
+      const currentVersion = this.versions.get(model) ?? 1
+      const versionLine = currentVersion === version ? '' : `bulrushvalve-weight-versions: ${currentVersion}\n`
+      version = currentVersion
+      const hasCapacity = response.write(`${versionLine}id: ${number}\ndata: ${record.id}-${number}${label}${padding}\n\n`)
+      if (eventBytes !== undefined && !hasCapacity) await waitForDrain(response)
+      if (breaks && number === firstNumber + 1) {
         response.write(`id: ${number + 1}\ndata: torn`, () => { request.socket.resetAndDestroy() })
         return
       }
@@ -272,14 +270,14 @@
   }
 }
 
-function answer (response: ServerResponse, status: number, headers: Record<string, string>, body: string): void {
+function respond (response: ServerResponse, status: number, headers: Record<string, string>, body: string): void {
   response.writeHead(status, { ...headers, 'content-length': Buffer.byteLength(body) }).end(body)
 }
 
-function finish (record: RunRecord, response: ServerResponse, status: number, headers: Record<string, string>, body: string): void {
+function respondToRun (record: RunRecord, response: ServerResponse, status: number, headers: Record<string, string>, body: string): void {
   record.ended = 'answered'
   record.answer = { status, body }
-  answer(response, status, headers, body)
+  respond(response, status, headers, body)
 }
 
 async function delay (milliseconds: number): Promise<void> {
--- a/test/platform/unreadable.test.ts
+++ b/test/platform/unreadable.test.ts
@@ -1,4 +1,4 @@
-/** What other writers leave in the store: nothing of it may stop a host, and none of it names a target. */
+/** Tests that records of other writers in the store neither stop a host nor register a target. */
 
 import { expect } from 'chai'
 import fc from 'fast-check'
@@ -9,8 +9,8 @@
 const without = (name: string): object => Object.fromEntries(Object.entries(entry).filter(([key]) => key !== name))
 const isTarget = (value: string | undefined): boolean => registryProtocol.target({ key: 'servers/t', value }).ok
 
-/** What a read answers from offset 0 on: end, first offset, and records with their lengths. */
-function page (contents: readonly Uint8Array[]): Uint8Array {
+/** Encodes a read response from offset 0: the end offset, the first retained offset, and length-prefixed records. */
+function encodePage (contents: readonly Uint8Array[]): Uint8Array {
   const head = Buffer.alloc(16)
   head.writeBigUInt64BE(BigInt(contents.length), 0)
   return Buffer.concat([head, ...contents.flatMap((content) => {
@@ -20,34 +20,34 @@
   })])
 }
 
-const record = (key: string, value: Uint8Array): Uint8Array => Buffer.concat([Buffer.from([key.length]), Buffer.from(key), value])
+const encodeRecord = (key: string, value: Uint8Array): Uint8Array => Buffer.concat([Buffer.from([key.length]), Buffer.from(key), value])
 const anyText = fc.oneof(fc.string({ unit: 'binary' }), fc.json(), fc.uint8Array().map((bytes) => Buffer.from(bytes).toString('latin1')))
 
 describe('records of other writers', () => {
-  it('keep their places in a page, whatever their bytes, and leave the others readable', () => {
-    // Symptom: a host no longer followed a topic. A record without bytes, or with a key longer than
-    // itself, made the reading of the whole page throw, and every later try met the same record.
-    const good = record('good', Buffer.from('{"x":1}'))
+  it('keep their offsets in a page, whatever their bytes, and leave other records readable', () => {
+    // Guards against a host that stops following a topic: an empty record, or one whose key length exceeds
+    // the record, made the decoding of the page throw, and every retry met the same record.
+    const good = encodeRecord('good', Buffer.from('{"x":1}'))
     fc.assert(fc.property(fc.array(fc.uint8Array({ maxLength: 40 }), { maxLength: 6 }), fc.uint8Array({ maxLength: 40 }), (before, bytes) => {
-      const read = storeProtocol.page(200, page([...before, bytes, good]), 0)
-      if (!read.ok || read.value.type !== 'entries') throw new Error('the page is not read')
+      const read = storeProtocol.decodePage(200, encodePage([...before, bytes, good]), 0)
+      if (!read.ok || read.value.type !== 'entries') throw new Error('the page cannot be decoded')
       expect(read.value.entries.map(({ offset }) => offset)).to.deep.equal([...before, bytes, good].map((_, offset) => offset))
       expect(read.value.entries.at(-1)).to.deep.equal({ key: 'good', value: '{"x":1}', offset: before.length + 1 })
     }), { examples: [[[], new Uint8Array()], [[], Uint8Array.from([200, 97])]] })
   })
 
-  it('read the same from a page of newest records, and name nothing where a value is no text', () => {
-    // A value with bytes that are no UTF-8 within a JSON string would else be read as another string.
+  it('decode to the same value from a page of newest records, and register no target if the value is not valid UTF-8', () => {
+    // Otherwise a JSON string with bytes that are not valid UTF-8 would be decoded as a different string.
     const broken = Buffer.from(JSON.stringify({ ...entry, addr: '10.0.0.1:8?' }).replace('?', '\u00ff'), 'latin1')
-    const followed = storeProtocol.page(200, page([record('servers/t', broken)]), 0)
-    const loaded = storeProtocol.newestPage(200, Buffer.from(JSON.stringify({ items: [{ key: 'servers/t', value: broken.toString('base64'), offset: 0 }], more: false, end: 1 })))
+    const followed = storeProtocol.decodePage(200, encodePage([encodeRecord('servers/t', broken)]), 0)
+    const loaded = storeProtocol.decodeNewestPage(200, Buffer.from(JSON.stringify({ items: [{ key: 'servers/t', value: broken.toString('base64'), offset: 0 }], more: false, end: 1 })))
     const value = followed.ok && followed.value.type === 'entries' ? followed.value.entries[0]?.value : undefined
     expect(loaded.ok && loaded.value.entries[0]?.value).to.equal(value)
     expect(value).to.be.a('string')
     expect(isTarget(value)).to.equal(false)
   })
 
-  it('name no target where a field is missing, of another type or not named', () => {
+  it('register no target if a field is missing or has an invalid type or value', () => {
     const changes: Record<string, object> = {
       'no service': without('service'),
       'no address': without('addr'),
@@ -80,20 +80,20 @@
     for (const value of ['', '{', 'null', '7', '\ufffd', undefined]) expect(isTarget(value)).to.equal(false)
   })
 
-  it('never throw, whatever their text', () => {
+  it('never make a decoder throw, whatever their text', () => {
     fc.assert(fc.property(fc.oneof(anyText, fc.constantFrom('config', 'op/config', 'version/m', 'op/version/', 'servers/t')), fc.option(anyText, { nil: undefined }), fc.nat(600), (key, value = '', status) => {
-      for (const read of [registryProtocol.operatorRecord({ key, value }), registryProtocol.target({ key, value }), targetProtocol.report(status, value), targetProtocol.report(200, value), storeProtocol.newestPage(200, Buffer.from(value))]) expect(read.ok).to.be.a('boolean')
+      for (const read of [registryProtocol.operatorRecord({ key, value }), registryProtocol.target({ key, value }), targetProtocol.report(status, value), targetProtocol.report(200, value), storeProtocol.decodeNewestPage(200, Buffer.from(value))]) expect(read.ok).to.be.a('boolean')
     }))
   })
 
-  it('are no configuration and no named version where a field is of another type', () => {
+  it('are not accepted as a configuration or named version if a field has an invalid type', () => {
     const whole = configuration(3)
-    const isRead = (key: string, value: object): boolean => {
+    const isAccepted = (key: string, value: object): boolean => {
       const read = registryProtocol.operatorRecord({ key, value: JSON.stringify(value) })
       return read.ok && read.value.type !== 'other'
     }
-    expect(isRead('config', whole)).to.equal(true)
-    expect([{ ...whole, version: '4' }, { ...whole, version: 4.5 }, { ...whole, routes: {} }, { ...whole, services: [{ name: 1 }] }, { ...whole, limits: { max_body_bytes: 'all' } }].map((value) => isRead('config', value))).to.deep.equal(Array(5).fill(false))
-    expect([{ model: 'm', version: 4 }, { model: 'm', version: '4' }, { model: 'm', version: 4.5 }, { model: 'm', version: -1 }, { version: 4 }].map((value) => isRead('version/m', value))).to.deep.equal([true, false, false, false, false])
+    expect(isAccepted('config', whole)).to.equal(true)
+    expect([{ ...whole, version: '4' }, { ...whole, version: 4.5 }, { ...whole, routes: {} }, { ...whole, services: [{ name: 1 }] }, { ...whole, limits: { max_body_bytes: 'all' } }].map((value) => isAccepted('config', value))).to.deep.equal(Array(5).fill(false))
+    expect([{ model: 'm', version: 4 }, { model: 'm', version: '4' }, { model: 'm', version: 4.5 }, { model: 'm', version: -1 }, { version: 4 }].map((value) => isAccepted('version/m', value))).to.deep.equal([true, false, false, false, false])
   })
 })
--- a/test/promises/silence.test.ts
+++ b/test/promises/silence.test.ts
@@ -1,46 +1,46 @@
-/** Connections that go silent, hosts that are cut off, and membership between them, on processes. */
+/** Tests with host processes of silent connections, network partitions and the membership between hosts. */
 
 import { expect } from 'chai'
 import { Cluster, call, waitUntil } from '../support/hostProcess.ts'
-import type { Cutter } from '../support/cutter.ts'
-import { startCutter } from '../support/cutter.ts'
-import type { Platform } from '../support/platform.ts'
-import { startPlatform } from '../support/platform.ts'
+import type { FaultyForwarder } from '../support/faultyForwarder.ts'
+import { startFaultyForwarder } from '../support/faultyForwarder.ts'
+import type { TestPlatform } from '../support/platform.ts'
+import { startTestPlatform } from '../support/platform.ts'
 
 describe('silence and cuts', function () {
   this.timeout(40_000)
-  let platform: Platform
+  let platform: TestPlatform
   let cluster: Cluster
-  const cutters = new Map<string, Cutter>()
+  const forwarders = new Map<string, FaultyForwarder>()
 
-  /** Each host is reached by the others through a forwarder of its own. */
+  /** Starts hosts that reach each other and the log through forwarders, one for each destination. */
   async function start (names: readonly { name: string, place: string }[], settings = {}): Promise<void> {
-    const real = new Map<string, string>()
-    for (const { name } of names) cutters.set(name, await startCutter(() => real.get(name) ?? ''))
-    const logCutter = await startCutter(() => platform.log.address)
-    cutters.set('log', logCutter)
+    const addresses = new Map<string, string>()
+    for (const { name } of names) forwarders.set(name, await startFaultyForwarder(() => addresses.get(name) ?? ''))
+    const logForwarder = await startFaultyForwarder(() => platform.log.address)
+    forwarders.set('log', logForwarder)
     cluster = await Cluster.prepare({
       hosts: names,
-      logAddress: logCutter.address,
-      announced: Object.fromEntries(names.map(({ name }) => [name, cutters.get(name)?.address ?? ''])),
+      logAddress: logForwarder.address,
+      announcedAddresses: Object.fromEntries(names.map(({ name }) => [name, forwarders.get(name)?.address ?? ''])),
       settings: { log: { freshness: 2000, timeout: 800, long_poll: 400 }, ...settings }
     })
     for (const host of cluster.hosts) {
-      real.set(host.name, host.address)
+      addresses.set(host.name, host.address)
       host.start()
     }
     await waitUntil(async () => (await cluster.host(0).rows('show hosts')).length === names.length, 15_000, 'hosts know each other')
-    await waitUntil(async () => (await Promise.all(cluster.hosts.map(async (host) => (await host.health()).fresh))).every((fresh) => fresh === true), 10_000, 'all are fresh')
+    await waitUntil(async () => (await Promise.all(cluster.hosts.map(async (host) => (await host.health()).fresh))).every((fresh) => fresh === true), 10_000, 'all hosts are fresh')
   }
 
   beforeEach(async () => {
-    platform = await startPlatform({ engines: 2, engine: { answerTokens: 20 } })
+    platform = await startTestPlatform({ engines: 2, engine: { answerTokens: 20 } })
   })
 
   afterEach(async () => {
     await cluster.stop()
-    for (const cutter of cutters.values()) await cutter.close()
-    cutters.clear()
+    for (const cutter of forwarders.values()) await cutter.close()
+    forwarders.clear()
     await platform.close()
   })
 
@@ -49,8 +49,8 @@
     return { status: answer.status, code: (answer.body.error as { code: string } | undefined)?.code ?? 'none' }
   }
 
-  /** How many hosts callers are told of. */
-  async function named (): Promise<number> {
+  /** Returns the number of hosts that are listed for callers. */
+  async function namedHostCount (): Promise<number> {
     const answer = await call(cluster.host(0).address, '/v1/addresses')
     return (answer.body.addresses as unknown[]).length
   }
@@ -58,60 +58,59 @@
   const two = [{ name: 'abdali-1', place: 'Abdali' }, { name: 'marka-1', place: 'Marka' }]
 
   /*
-   * Symptom: hosts count each other dead, and homes move, though both live.
-   * Sequence: all open connections between them go silent for good; new ones would work.
-   * Cause: the probe goes over the connection that was lost track of, again and again.
+   * Guards against hosts that declare each other dead although both are alive, which also moves homes. All open
+   * connections between them go silent for good while new ones would work, and every probe uses the same silent
+   * connection.
    */
-  it('do not make a host dead whose new connections work', async () => {
+  it('do not make a host count as dead if new connections to it work', async () => {
     await start(two)
-    for (const cutter of cutters.values()) cutter.silenceOpen()
+    for (const cutter of forwarders.values()) cutter.silenceOpenConnections()
     await new Promise((resolve) => setTimeout(resolve, 3000))
     expect((await cluster.host(0).rows('show hosts')).length).to.equal(2)
     expect(cluster.hosts.map((host) => host.output).join('')).to.not.contain('host is dead')
     expect((await complete(0)).code).to.equal('notFound')
   })
 
-  it('of the log on open connections pass, as new ones are made', async () => {
+  it('of open connections to the log are overcome by new connections', async () => {
     await start(two)
-    cutters.get('log')?.silenceOpen()
-    await waitUntil(async () => (await cluster.host(1).command('create pool spare copies 1')).status === 200, 8000, 'an order is taken')
+    forwarders.get('log')?.silenceOpenConnections()
+    await waitUntil(async () => (await cluster.host(1).command('create pool spare copies 1')).status === 200, 8000, 'a command is accepted')
   })
 
-  it('make a host dead that answers nobody, and it comes back when it does', async () => {
+  it('make a host count as dead while it answers no other host, and alive when it answers again', async () => {
     await start([...two, { name: 'tabarbour-1', place: 'Tabarbour' }])
-    cutters.get('marka-1')?.silenceAll()
+    forwarders.get('marka-1')?.silenceAll()
     cluster.host(1).freeze()
-    await waitUntil(async () => await named() === 2, 8000, 'it is dead')
-    cutters.get('marka-1')?.heal()
-    cluster.host(1).wake()
-    await waitUntil(async () => await named() === 3, 8000, 'it is named again')
+    await waitUntil(async () => await namedHostCount() === 2, 8000, 'the host is no longer listed')
+    forwarders.get('marka-1')?.restore()
+    cluster.host(1).resume()
+    await waitUntil(async () => await namedHostCount() === 3, 8000, 'the host is listed again')
   })
 
   /*
-   * Symptom: one side of a cut serves by configuration that the other has changed.
-   * Sequence: a place loses the log and the other place at once; operators go on at the other side.
-   * Cause: to the cut-off side it looks like an outage of the log, in which its state cannot age.
+   * Guards against one side of a network partition that serves with a configuration that was changed on the other
+   * side. A failure domain loses the log and the other failure domain at the same time, while operators continue on
+   * the other side. To the isolated side this looks like a log outage, during which its state would not become stale.
    */
-  it('of the log and a whole place at once are taken for a cut: new work is refused', async () => {
+  it('of the log and a whole failure domain at once count as a partition: new work is refused', async () => {
     const three = [...two, { name: 'marka-2', place: 'Marka' }]
     await start(three)
     await platform.configure(cluster)
     expect((await complete(1)).status).to.equal(200)
-    cutters.get('log')?.silenceAll()
-    cutters.get('abdali-1')?.silenceAll()
+    forwarders.get('log')?.silenceAll()
+    forwarders.get('abdali-1')?.silenceAll()
     await cluster.host(0).kill()
-    await waitUntil(async () => (await complete(1)).code === 'stale', 12_000, 'the cut-off side refuses')
-    await waitUntil(async () => (await complete(2)).code === 'stale', 4000, 'all of the cut-off side refuses')
-    cutters.get('log')?.heal()
-    await waitUntil(async () => (await complete(1)).status === 200, 8000, 'it serves again')
+    await waitUntil(async () => (await complete(1)).code === 'stale', 12_000, 'a host of the isolated side refuses requests')
+    await waitUntil(async () => (await complete(2)).code === 'stale', 4000, 'all hosts of the isolated side refuse requests')
+    forwarders.get('log')?.restore()
+    await waitUntil(async () => (await complete(1)).status === 200, 8000, 'the host serves requests again')
   })
 
   /*
-   * Symptom: requests hang until their deadline after a host died.
-   * Sequence: the home of a shard is killed while requests wait in its queue.
-   * Cause: who waits for the answer of a dead host waits for ever.
+   * Guards against requests that hang until their deadline after a host failed. The home of a shard stops answering
+   * while requests wait in its queue, and a request that waits for its answer would wait forever.
    */
-  it('of a home are not waited out: its queue is asked for elsewhere', async () => {
+  it('of a home do not block requests in its queue: they are sent to another home', async () => {
     await start([...two, { name: 'tabarbour-1', place: 'Tabarbour' }])
     await platform.configure(cluster)
     const began = Date.now()
@@ -122,25 +121,24 @@
   })
 
   /*
-   * Symptom: for two seconds after a host was killed, requests for its shards hang.
-   * Sequence: the home of a shard is killed; requests ask it, are refused the connection, and ask
-   * again until the probes' time limits have declared it suspect.
-   * Cause: a refused connection says at once that nobody listens, and was treated as a silence.
+   * Guards against requests that hang for two seconds after the home of their shard was killed. Their connections are
+   * refused and they retry until the probe timeouts make the home suspect, although a refused connection already
+   * shows that nothing listens there.
    */
   it('are not what a killed host leaves: its shards have another home within 300 ms', async () => {
     await platform.close()
-    platform = await startPlatform({ engines: 2, places: ['Abdali'] })
+    platform = await startTestPlatform({ engines: 2, places: ['Abdali'] })
     await start([...two, { name: 'tabarbour-1', place: 'Tabarbour' }], { membership: { probe_period: 500, probe_timeout: 400 } })
     await platform.configure(cluster)
     await complete(2)
-    const waits: number[] = []
+    const latencies: number[] = []
     await cluster.host(0).kill()
-    cutters.get('abdali-1')?.refuse()
+    forwarders.get('abdali-1')?.stopListening()
     await Promise.all(Array.from({ length: 8 }, async (_, index) => {
       const began = Date.now()
       expect((await complete(1 + index % 2)).status).to.equal(200)
-      waits.push(Date.now() - began)
+      latencies.push(Date.now() - began)
     }))
-    expect(Math.max(...waits)).to.be.below(300)
+    expect(Math.max(...latencies)).to.be.below(300)
   })
 })
--- a/test/settings/settings.test.ts
+++ b/test/settings/settings.test.ts
@@ -1,10 +1,10 @@
-/** Settings: every mistake at once, with its line and key; the examples are in order. */
+/** Settings: all errors are reported at once with their lines and keys, and the examples are valid. */
 
 import { readdirSync } from 'node:fs'
 import { expect } from 'chai'
 import { parseSettings, readSettings } from '../../src/settings/node/readSettings.ts'
 
-const good = `
+const validSettings = `
 [host]
 name = "abdali-1"
 place = "Abdali"
@@ -17,13 +17,13 @@
 `
 
 describe('settings', () => {
-  it('fill in every default', () => {
-    const parsed = parseSettings(good)
+  it('apply all defaults', () => {
+    const parsed = parseSettings(validSettings)
     expect(parsed.ok && parsed.value.type === 'pools' && parsed.value.settings).toMatchSnapshot()
   })
 
-  it('list every mistake with its line', () => {
-    const bad = `${good.replace('7001"\naddress', '7001"\ncolour = "red"\naddress').replace('listen = "127.0.0.1:7001"', 'listen = "localhost:7001"')}
+  it('report every error with its line', () => {
+    const invalidSettings = `${validSettings.replace('7001"\naddress', '7001"\ncolour = "red"\naddress').replace('listen = "127.0.0.1:7001"', 'listen = "localhost:7001"')}
 [limits]
 connections = -4
 heartbeat = "fast"
@@ -37,22 +37,22 @@
 [unheard]
 x = 1
 `
-    const parsed = parseSettings(bad)
+    const parsed = parseSettings(invalidSettings)
     expect(parsed.ok ? [] : parsed.message.split('\n')).toMatchSnapshot()
   })
 
-  it('name the line of what is not TOML', () => {
+  it('report the line of a TOML syntax error', () => {
     const parsed = parseSettings('[host]\nname = \n')
     expect(parsed.ok ? '' : parsed.message).to.match(/^line 2: /)
   })
 
-  it('tell of a file that is not there', () => {
+  it('report a missing file', () => {
     const parsed = readSettings('nowhere.toml')
     expect(parsed.ok ? '' : parsed.code).to.equal('invalidSettings')
   })
 
   for (const file of readdirSync('examples').filter((name) => name.endsWith('.toml'))) {
-    it(`of examples/${file} are in order`, () => {
+    it(`of examples/${file} are valid`, () => {
       const parsed = readSettings(`examples/${file}`)
       expect(parsed.ok ? '' : parsed.message).to.equal('')
     })
--- a/test/soak/link.ts
+++ b/test/soak/link.ts
@@ -1,4 +1,4 @@
-/** A loopback proxy that delays, resets, silences or cuts connections in one direction. */
+/** A loopback proxy that delays, resets or silences connections, or drops the bytes of one direction. */
 
 import { once } from 'node:events'
 import type { AddressInfo, Server, Socket } from 'node:net'
@@ -7,8 +7,8 @@
 export const linkFaults = ['delayed', 'reset', 'silent', 'requests lost', 'answers lost'] as const
 export type LinkState = 'open' | typeof linkFaults[number]
 
-/** Delay of each piece on a delayed link, in milliseconds. */
-const DELAY_MS = 150
+/** Delay of each chunk on a delayed link, in milliseconds. */
+const LINK_DELAY_MS = 150
 
 export class Link {
   state: LinkState = 'open'
@@ -19,7 +19,7 @@
     const { hostname, port } = new URL(address)
     const server = createServer()
     const link = new Link(server)
-    server.on('connection', (near) => { link.join(near, connect(Number(port), hostname)) })
+    server.on('connection', (near) => { link.forward(near, connect(Number(port), hostname)) })
     server.listen(0, '127.0.0.1')
     await once(server, 'listening')
     return link
@@ -29,11 +29,11 @@
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Changes the state; connections that lost bytes in the former one do not work again. */
+  /** Changes the state. Connections that may have lost bytes in the previous state are reset. */
   set (state: LinkState): void {
-    const broken = state === 'reset' || (state === 'open' && this.state !== 'open' && this.state !== 'delayed')
+    const mustReset = state === 'reset' || (state === 'open' && this.state !== 'open' && this.state !== 'delayed')
     this.state = state
-    if (broken) for (const socket of this.sockets) socket.resetAndDestroy()
+    if (mustReset) for (const socket of this.sockets) socket.resetAndDestroy()
   }
 
   async close (): Promise<void> {
@@ -42,24 +42,24 @@
     await once(this.server, 'close')
   }
 
-  private join (near: Socket, far: Socket): void {
+  private forward (near: Socket, far: Socket): void {
     if (this.state === 'reset') {
       far.destroy()
       near.resetAndDestroy()
       return
     }
-    for (const [from, to, lostIn] of [[near, far, 'requests lost'], [far, near, 'answers lost']] as const) {
+    for (const [from, to, droppingState] of [[near, far, 'requests lost'], [far, near, 'answers lost']] as const) {
       this.sockets.add(from)
       from.on('data', (data) => {
-        if (this.state === 'silent' || this.state === lostIn) return
-        if (this.state === 'delayed') setTimeout(() => { to.write(data) }, DELAY_MS)
+        if (this.state === 'silent' || this.state === droppingState) return
+        if (this.state === 'delayed') setTimeout(() => { to.write(data) }, LINK_DELAY_MS)
         else to.write(data)
       })
       from.on('error', () => undefined)
       from.on('close', () => {
         this.sockets.delete(from)
-        // Bytes on a delayed link arrive before its end does.
-        setTimeout(() => { to.destroy() }, this.state === 'delayed' ? DELAY_MS + 10 : 0)
+        // Delayed bytes must be delivered before the connection is closed.
+        setTimeout(() => { to.destroy() }, this.state === 'delayed' ? LINK_DELAY_MS + 10 : 0)
       })
     }
   }
--- a/test/support/fakeHost.ts
+++ b/test/support/fakeHost.ts
@@ -1,6 +1,6 @@
 /**
- * Hosts over fakes: one log in memory with faults, and for each host the real control log, appender,
- * service calls and desks, on a clock that the test moves.
+ * Hosts on top of fakes. They share a log in memory that can fail; each has the real control log, appender,
+ * service calls and trainer desk, on a clock that the test advances.
  */
 
 import { start } from 'nact'
@@ -18,15 +18,15 @@
 import type { Log, LogPage, ReadOptions, StreamName } from '../../src/ports/common/log.ts'
 import type { Metrics, StateLog } from '../../src/ports/common/observation.ts'
 import type { PeerHandlers, Peers } from '../../src/ports/common/peers.ts'
-import type { Service, ServiceAnswer, ServiceCall } from '../../src/ports/common/targets.ts'
+import type { Service, ServiceResponse, ServiceCall } from '../../src/ports/common/targets.ts'
 import type { ManualClock } from './manualClock.ts'
-import { seededChance } from './manualClock.ts'
+import { newSeededChance } from './manualClock.ts'
 
-/** The platform's log in memory. */
+/** An in-memory implementation of the platform's log. */
 export class FakeLog {
   readonly streams: Record<StreamName, string[]> = { control: [], payload: [], checkpoint: [] }
   down = false
-  /** So many appends take effect and their answers are lost. */
+  /** Number of appends that take effect but whose answer is lost. */
   loseAnswers = 0
 
   append (stream: StreamName, data: string): Result<number> {
@@ -46,13 +46,13 @@
   }
 }
 
-/** A service that keeps its own record of what it ran. */
+/** A service that records the calls that it executed. */
 export class FakeService {
   readonly ran: string[] = []
   loseAnswers = 0
   refuse = false
 
-  call (call: ServiceCall): Result<ServiceAnswer> {
+  call (call: ServiceCall): Result<ServiceResponse> {
     if (this.refuse) return failure('targetRefused', 'refused')
     this.ran.push(call.requestId)
     if (this.loseAnswers > 0) {
@@ -63,38 +63,38 @@
   }
 }
 
-export const quietMetrics: Metrics = { count: () => undefined, gauge: () => undefined, timing: () => undefined }
-export const quietLog: StateLog = { changed: () => undefined, alarm: () => undefined, decided: () => undefined }
-export const noHandlers: PeerHandlers = { handle: () => undefined }
-export const noPeers: Peers = { call: async () => failure('targetUnreachable', 'nobody') }
-const plainHash: Hash = { digest: (text) => String(text.length), number: (text) => text.length }
+export const noopMetrics: Metrics = { count: () => undefined, gauge: () => undefined, timing: () => undefined }
+export const noopStateLog: StateLog = { changed: () => undefined, alarm: () => undefined, decided: () => undefined }
+export const noopPeerHandlers: PeerHandlers = { handle: () => undefined }
+export const unreachablePeers: Peers = { call: async () => failure('targetUnreachable', 'nobody') }
+const lengthHash: Hash = { digest: (text) => String(text.length), number: (text) => text.length }
 const READ_PERIOD_MS = 10
 
-/** One host. While frozen, nothing goes out of it and nothing comes in. */
+/** One host. While it is frozen, no call leaves it and no answer reaches it. */
 export class FakeHost {
   readonly fold: ControlLog
   readonly appender: Appender
   readonly calls: ServiceCalls
   readonly trainerDesk: TrainerService
-  private awake: Promise<void> = Promise.resolve()
-  private wakeUp: (() => void) | undefined
+  private resumed: Promise<void> = Promise.resolve()
+  private signalResume: (() => void) | undefined
   readonly id: HostId
 
   constructor (name: string, private readonly log: FakeLog, service: FakeService, readonly clock: ManualClock, seed: number, members: () => readonly { host: HostId, status: string }[]) {
     this.id = asHostId(name)
     const system = start()
-    const chance = seededChance(seed)
-    const port: Log = {
-      append: async (stream, data) => await this.through(() => this.log.append(stream, data)),
+    const chance = newSeededChance(seed)
+    const logPort: Log = {
+      append: async (stream, data) => await this.whileAwake(() => this.log.append(stream, data)),
       read: async (stream, from, options) => {
         if (options.waitMs > 0) await new Promise<void>((resolve) => { clock.after(READ_PERIOD_MS, resolve) })
-        return await this.through(() => this.log.read(stream, from, options))
+        return await this.whileAwake(() => this.log.read(stream, from, options))
       }
     }
-    const serviceAdapter: Service = { call: async (_address, call) => await this.through(() => service.call(call)) }
-    const base = { system, clock, chance, hash: plainHash, metrics: quietMetrics, stateLog: quietLog }
-    this.fold = new ControlLog({ ...base, log: port, peers: noPeers, handlers: noHandlers, directory: { peerAddresses: () => [], isAnyFailureDomainLost: () => false } }, { longPollMs: 100, readPauseMs: 30, freshnessMs: 1000, relayEntries: 100 })
-    this.appender = new Appender({ ...base, log: port, fold: this.fold }, { batchDelayMs: 1, queue: 1000 })
+    const serviceAdapter: Service = { call: async (_address, call) => await this.whileAwake(() => service.call(call)) }
+    const base = { system, clock, chance, hash: lengthHash, metrics: noopMetrics, stateLog: noopStateLog }
+    this.fold = new ControlLog({ ...base, log: logPort, peers: unreachablePeers, handlers: noopPeerHandlers, directory: { peerAddresses: () => [], isAnyFailureDomainLost: () => false } }, { longPollMs: 100, readPauseMs: 30, freshnessMs: 1000, relayEntries: 100 })
+    this.appender = new Appender({ ...base, log: logPort, fold: this.fold }, { batchDelayMs: 1, queue: 1000 })
     this.calls = new ServiceCalls({
       ...base,
       grants: { acquire: async () => success({ target: asTargetName('t'), address: 'http://t', useBefore: Number.MAX_SAFE_INTEGER, revoked: new AbortController().signal, release: () => undefined }) },
@@ -104,29 +104,29 @@
       membership: { members: members as never },
       budget: new RetryBudget({ ratio: 0, maximum: 0 })
     }, { claimWaitMs: 500, host: this.id })
-    this.trainerDesk = new TrainerService({ ...base, fold: this.fold, appender: this.appender, payloads: new PayloadStore(port) }, 500)
+    this.trainerDesk = new TrainerService({ ...base, fold: this.fold, appender: this.appender, payloads: new PayloadStore(logPort) }, 500)
   }
 
   freeze (): void {
-    if (this.wakeUp !== undefined) return
-    this.awake = new Promise((resolve) => { this.wakeUp = resolve })
+    if (this.signalResume !== undefined) return
+    this.resumed = new Promise((resolve) => { this.signalResume = resolve })
   }
 
-  wake (): void {
-    this.wakeUp?.()
-    this.wakeUp = undefined
+  resume (): void {
+    this.signalResume?.()
+    this.signalResume = undefined
   }
 
   dispose (): void {
-    this.wake()
+    this.resume()
     this.appender.dispose()
     this.fold.dispose()
   }
 
-  private async through<T> (act: () => T): Promise<T> {
-    await this.awake
-    const result = act()
-    await this.awake
+  private async whileAwake<T> (action: () => T): Promise<T> {
+    await this.resumed
+    const result = action()
+    await this.resumed
     return result
   }
 }
--- a/test/support/hostProcess.ts
+++ b/test/support/hostProcess.ts
@@ -1,4 +1,4 @@
-/** Starts, freezes and ends entry hosts as separate processes, and talks to them. */
+/** Runs entry hosts as separate processes: starts, suspends and terminates them, and sends them requests. */
 
 import type { ChildProcess } from 'node:child_process'
 import { spawn } from 'node:child_process'
@@ -10,11 +10,11 @@
 import { stringify } from 'smol-toml'
 import { request } from 'undici'
 
-/** The program as one script; the binary is the same and starts more slowly. */
+/** Command line of the bundled script. The single executable contains the same program but starts more slowly. */
 export const PROGRAM: readonly string[] = [process.execPath, 'dist/bulrushvalve.cjs']
 export const keys = { peers: 'peer-key-0001', operator: 'operator-key-0001', other: 'operator-key-0002', caller: 'caller-key-0001', stranger: 'caller-key-0002', trainer: 'trainer-key-0001', second: 'trainer-key-0002' }
 
-/** Settings by table; what is given is laid over quick defaults. */
+/** Settings by table. They override defaults with short intervals. */
 export type SettingsTables = Record<string, Record<string, unknown>>
 
 export interface HostAnswer {
@@ -31,7 +31,7 @@
   readonly timeoutMs?: number
 }
 
-/** Sends a request and reads a JSON answer. */
+/** Sends a request and parses the JSON response. */
 export async function call (address: string, path: string, { method, key = keys.caller, headers = {}, body, timeoutMs = 15_000 }: CallOptions = {}): Promise<HostAnswer> {
   const answer = await request(`${address}${path}`, {
     method: (method ?? (body === undefined ? 'GET' : 'POST')) as 'GET',
@@ -50,13 +50,13 @@
   constructor (readonly name: string, readonly place: string, readonly address: string, private readonly settingsPath: string, private readonly program: readonly string[]) {}
 
   start (): void {
-    const [command = process.execPath, ...words] = this.program
-    const child = spawn(command, [...words, 'serve', '--settings', this.settingsPath], { stdio: ['ignore', 'pipe', 'pipe'] })
+    const [command = process.execPath, ...args] = this.program
+    const child = spawn(command, [...args, 'serve', '--settings', this.settingsPath], { stdio: ['ignore', 'pipe', 'pipe'] })
     this.child = child
     this.exitCode = null
-    const take = (data: Buffer): void => { this.output += data.toString() }
-    child.stdout.on('data', take)
-    child.stderr.on('data', take)
+    const appendOutput = (data: Buffer): void => { this.output += data.toString() }
+    child.stdout.on('data', appendOutput)
+    child.stderr.on('data', appendOutput)
     child.on('exit', (code) => { this.exitCode = code ?? -1 })
   }
 
@@ -64,7 +64,7 @@
     return this.child?.pid ?? -1
   }
 
-  get running (): boolean {
+  get isRunning (): boolean {
     return this.child !== undefined && this.exitCode === null
   }
 
@@ -72,7 +72,7 @@
     this.child?.kill('SIGSTOP')
   }
 
-  wake (): void {
+  resume (): void {
     this.child?.kill('SIGCONT')
   }
 
@@ -82,10 +82,10 @@
 
   async kill (): Promise<void> {
     this.child?.kill('SIGKILL')
-    await this.ended()
+    await this.waitForExit()
   }
 
-  async ended (): Promise<void> {
+  async waitForExit (): Promise<void> {
     if (this.child !== undefined && this.exitCode === null) await once(this.child, 'exit')
   }
 
@@ -110,13 +110,13 @@
   readonly hostListAddress?: string
   readonly scorerAddress?: string
   readonly settings?: SettingsTables
-  /** Command and first words that run the program. */
+  /** Command and leading arguments that run the program. */
   readonly program?: readonly string[]
-  /** Addresses that hosts announce in place of their own, by name. */
-  readonly announced?: Readonly<Record<string, string>>
+  /** Addresses that hosts announce instead of their own, by host name. */
+  readonly announcedAddresses?: Readonly<Record<string, string>>
 }
 
-/** A set of entry hosts on loopback. */
+/** A set of entry hosts on the loopback interface. */
 export class Cluster {
   private constructor (readonly hosts: readonly HostProcess[], private readonly folder: string) {}
 
@@ -124,7 +124,7 @@
     const cluster = await Cluster.prepare(options)
     try {
       for (const host of cluster.hosts) host.start()
-      await Promise.all(cluster.hosts.map(async (host) => { await waitUntil(async () => (await host.health()).fresh === true, 30_000, () => `${host.name} is fresh\n${host.output}`) }))
+      await Promise.all(cluster.hosts.map(async (host) => { await waitUntil(async () => (await host.health()).fresh === true, 30_000, () => `${host.name} becomes fresh\n${host.output}`) }))
       await waitUntil(async () => (await cluster.host(0).rows('show hosts')).length === cluster.hosts.length, 20_000, 'hosts know each other')
     } catch (error) {
       await cluster.stop()
@@ -133,7 +133,7 @@
     return cluster
   }
 
-  /** Writes the settings without starting anything. */
+  /** Writes the settings files without starting the hosts. */
   static async prepare (options: ClusterOptions): Promise<Cluster> {
     const folder = mkdtempSync(join(tmpdir(), 'hosts-'))
     const ports = await freePorts(options.hosts.length)
@@ -148,18 +148,18 @@
 
   host (index: number): HostProcess {
     const host = this.hosts[index]
-    if (host === undefined) throw new Error(`there is no host ${index}`)
+    if (host === undefined) throw new Error(`host index ${index} is out of range`)
     return host
   }
 
-  named (name: string): HostProcess {
+  hostNamed (name: string): HostProcess {
     const host = this.hosts.find((candidate) => candidate.name === name)
-    if (host === undefined) throw new Error(`there is no host ${name}`)
+    if (host === undefined) throw new Error(`no host is named ${name}`)
     return host
   }
 
-  /** Orders statements and fails on the first that is not accepted. */
-  async order (...statements: string[]): Promise<void> {
+  /** Executes operator statements in order and throws at the first that is not accepted. */
+  async execute (...statements: string[]): Promise<void> {
     for (const statement of statements) {
       const answer = await this.host(0).command(statement, { wait: true })
       if (answer.status !== 200) throw new Error(`${statement}: ${JSON.stringify(answer.body)}`)
@@ -167,24 +167,24 @@
   }
 
   async stop (): Promise<void> {
-    for (const host of this.hosts) host.wake()
+    for (const host of this.hosts) host.resume()
     await Promise.all(this.hosts.map(async (host) => { await host.kill() }))
     rmSync(this.folder, { recursive: true, force: true })
   }
 }
 
 function settingsFor (options: ClusterOptions, name: string, place: string, port: number, seeds: readonly string[]): SettingsTables {
-  const own = options.settings ?? {}
+  const overrides = options.settings ?? {}
   return {
-    host: { name, place, listen: `127.0.0.1:${port}`, address: options.announced?.[name] ?? `http://127.0.0.1:${port}` },
-    log: { address: options.logAddress, read_pause: 20, ...own.log },
+    host: { name, place, listen: `127.0.0.1:${port}`, address: options.announcedAddresses?.[name] ?? `http://127.0.0.1:${port}` },
+    log: { address: options.logAddress, read_pause: 20, ...overrides.log },
     ...(options.hostListAddress === undefined ? {} : { host_list: { address: options.hostListAddress } }),
     ...(options.scorerAddress === undefined ? {} : { scorer: { address: options.scorerAddress } }),
     peers: { key: keys.peers },
-    membership: { seeds, probe_period: 200, probe_timeout: 200, suspicion: 800, full_exchange: 1000, ...own.membership },
-    limits: { valid_for: 500, ...own.limits },
-    orders: { reconcile: 200, host_list: 300, ...own.orders },
-    rollouts: { ...own.rollouts },
+    membership: { seeds, probe_period: 200, probe_timeout: 200, suspicion: 800, full_exchange: 1000, ...overrides.membership },
+    limits: { valid_for: 500, ...overrides.limits },
+    orders: { reconcile: 200, host_list: 300, ...overrides.orders },
+    rollouts: { ...overrides.rollouts },
     callers: [
       { name: 'booking', key: keys.caller },
       { name: 'stranger', key: keys.stranger },
@@ -195,15 +195,15 @@
   } as unknown as SettingsTables
 }
 
-/** Ports below those that the system gives to outgoing connections: one of these could be taken between its finding and the start of a host. */
-const LOWEST_PORT = 12_000
-const HIGHEST_PORT = 32_000
+/** Port range below the ephemeral ports. An ephemeral port could be taken by an outgoing connection before the host starts. */
+const MIN_PORT = 12_000
+const MAX_PORT = 32_000
 
-/** Finds ports that are free at each of some loopback addresses. */
+/** Finds ports that are free on all of the given loopback addresses. */
 export async function freePorts (count: number, addresses: readonly string[] = ['127.0.0.1']): Promise<number[]> {
   const ports = new Set<number>()
   while (ports.size < count) {
-    const port = LOWEST_PORT + Math.floor(Math.random() * (HIGHEST_PORT - LOWEST_PORT))
+    const port = MIN_PORT + Math.floor(Math.random() * (MAX_PORT - MIN_PORT))
     const free = await Promise.all(addresses.map(async (address) => await isFree(port, address)))
     if (free.every(Boolean)) ports.add(port)
   }
@@ -218,17 +218,17 @@
   })
 }
 
-/** Waits until a condition holds; errors count as not yet. */
-export async function waitUntil (condition: () => boolean | Promise<boolean>, timeoutMs: number, what: string | (() => string)): Promise<void> {
-  const until = Date.now() + timeoutMs
-  let last = ''
-  while (Date.now() < until) {
+/** Polls until a condition holds. An error thrown by the condition counts as not fulfilled. */
+export async function waitUntil (condition: () => boolean | Promise<boolean>, timeoutMs: number, description: string | (() => string)): Promise<void> {
+  const deadline = Date.now() + timeoutMs
+  let lastError = ''
+  while (Date.now() < deadline) {
     try {
       if (await condition()) return
     } catch (error) {
-      last = String(error)
+      lastError = String(error)
     }
     await new Promise((resolve) => setTimeout(resolve, 25))
   }
-  throw new Error(`not within ${timeoutMs} ms: ${typeof what === 'string' ? what : what()} ${last}`)
+  throw new Error(`condition not fulfilled within ${timeoutMs} ms: ${typeof description === 'string' ? description : description()} ${lastError}`)
 }
--- a/test/support/manualClock.ts
+++ b/test/support/manualClock.ts
@@ -1,9 +1,9 @@
-/** A clock that tests move, and a chance that repeats itself. */
+/** A clock that tests advance, and a seeded source of random numbers. */
 
 import { xoroshiro128plus } from 'pure-rand/generator/XoroShiro'
 import type { Disposable } from '../../src/base/common/lifecycle.ts'
 import { toDisposable } from '../../src/base/common/lifecycle.ts'
-import type { Chance, Clock } from '../../src/ports/common/clock.ts'
+import type { RandomSource, Clock } from '../../src/ports/common/clock.ts'
 
 interface Timer {
   due: number
@@ -32,7 +32,7 @@
     return this.add({ due: this.now + periodMs, periodMs, task })
   }
 
-  /** Moves time, running what falls due in order and letting promises and actors settle in between. */
+  /** Advances the time and runs due timers in order, with promises and actors settling in between. */
   async advance (milliseconds: number): Promise<void> {
     const end = this.now + milliseconds
     await settle()
@@ -49,12 +49,12 @@
     await settle()
   }
 
-  /** Moves time without running anything in between, as a freeze of the process does. */
+  /** Advances the time without running timers, like a process that is frozen. */
   freeze (milliseconds: number): void {
     this.now += milliseconds
   }
 
-  /** Moves only the time of day, as a suspension of the machine does. */
+  /** Advances only the wall clock, like a suspended machine. */
   suspend (milliseconds: number): void {
     this.suspendedMs += milliseconds
   }
@@ -65,12 +65,12 @@
   }
 }
 
-/** Lets promises and actors run until nothing is left to do at once. */
+/** Gives pending promises and actors 12 turns of the event loop, which is enough for them to become idle. */
 export async function settle (): Promise<void> {
   for (let turn = 0; turn < 12; turn++) await new Promise<void>((resolve) => setImmediate(resolve))
 }
 
-export function seededChance (seed: number): Chance {
+export function newSeededChance (seed: number): RandomSource {
   const generator = xoroshiro128plus(seed)
   let next = 0
   return { next: () => (generator.unsafeNext() >>> 0) / 2 ** 32, id: () => `id-${seed}-${next++}` }
--- a/test/support/memoryKeyedLog.ts
+++ b/test/support/memoryKeyedLog.ts
@@ -1,30 +1,30 @@
-/** A keyed topic in memory, with the faults of a store: away, answers lost, appends done late, history dropped. */
+/** A keyed topic in memory that can simulate faults of a store: outages, lost answers, delayed appends and compacted history. */
 
 import type { Result } from '../../src/base/common/resultCode.ts'
 import { failure, success } from '../../src/base/common/resultCode.ts'
 import type { KeyedEntry, KeyedLog, KeyedPage, KeyedRecord, NewestPage } from '../../src/ports/common/keyedLog.ts'
 
-const PAGE = 3
+const PAGE_SIZE = 3
 
 export class MemoryKeyedLog implements KeyedLog {
   entries: KeyedEntry[] = []
-  /** Offset of the first entry that is still kept as history. */
+  /** Offset of the first entry that is still available to readers of the history. */
   first = 0
-  /** Whether calls are refused. */
+  /** Whether all calls fail. */
   down = false
-  /** Appends that are done and whose answers are lost. */
+  /** Number of appends that take effect but whose answer is lost. */
   loseAnswers = 0
-  /** Appends that get no answer and are done when `land` is called. */
+  /** Number of appends that get no answer and take effect only when `applyDelayedAppends` is called. */
   delayAppends = 0
   appends = 0
-  private readonly late: (readonly KeyedRecord[])[] = []
+  private readonly delayedAppends: (readonly KeyedRecord[])[] = []
 
   async append (records: readonly KeyedRecord[]): Promise<Result<number>> {
     if (this.down) return failure('logUnavailable', 'the store is away')
     this.appends++
     if (this.delayAppends > 0) {
       this.delayAppends--
-      this.late.push(records)
+      this.delayedAppends.push(records)
       return failure('commandUnknown', 'no answer')
     }
     const offset = this.entries.length
@@ -42,14 +42,14 @@
     return success({ type: 'entries', entries: this.entries.slice(from), end: this.entries.length })
   }
 
-  /** Characters count as bytes here; one entry is given at least. */
+  /** Characters count as bytes here. At least one entry is returned if there is any. */
   async readSome (from: number, kilobytes: number): Promise<Result<KeyedPage>> {
     const page = await this.read(from)
     if (!page.ok || page.value.type === 'forgotten') return page
-    let room = kilobytes * 1024
+    let remainingBytes = kilobytes * 1024
     const entries = page.value.entries.filter(({ key, value }, index) => {
-      room -= key.length + (value?.length ?? 0)
-      return index === 0 || room >= 0
+      remainingBytes -= key.length + (value?.length ?? 0)
+      return index === 0 || remainingBytes >= 0
     })
     return success({ ...page.value, entries })
   }
@@ -57,21 +57,21 @@
   async newest (after: string | undefined): Promise<Result<NewestPage>> {
     if (this.down) return failure('logUnavailable', 'the store is away')
     const sorted = this.newestEntries().sort((a, b) => a.key < b.key ? -1 : 1).filter(({ key }) => after === undefined || key > after)
-    const page = sorted.slice(0, PAGE)
-    return success({ entries: page, end: this.entries.length, next: sorted.length > PAGE ? page.at(-1)?.key : undefined })
+    const page = sorted.slice(0, PAGE_SIZE)
+    return success({ entries: page, end: this.entries.length, next: sorted.length > PAGE_SIZE ? page.at(-1)?.key : undefined })
   }
 
-  /** Writes as somebody else. */
+  /** Appends records directly, as another writer would. */
   write (records: readonly KeyedRecord[]): void {
     for (const record of records) this.entries.push({ ...record, offset: this.entries.length })
   }
 
-  /** Lets the delayed appends take effect. */
-  land (): void {
-    for (const records of this.late.splice(0)) this.write(records)
+  /** Applies the delayed appends. */
+  applyDelayedAppends (): void {
+    for (const records of this.delayedAppends.splice(0)) this.write(records)
   }
 
-  /** The newest record of each key that has a value. */
+  /** Returns the newest record of each key, without keys whose newest record is a tombstone. */
   newestEntries (): KeyedEntry[] {
     const newest = new Map<string, KeyedEntry>()
     for (const entry of this.entries) newest.set(entry.key, entry)
--- a/test/support/platform.ts
+++ b/test/support/platform.ts
@@ -1,4 +1,4 @@
-/** The platform as the tests have it: stand-ins inside the test process, so that their records can be read. */
+/** Runs the stand-ins for the platform inside the test process, so that tests can read their records. */
 
 import type { EngineOptions, EngineStandIn } from '../../standins/engine.ts'
 import { startEngine } from '../../standins/engine.ts'
@@ -10,7 +10,7 @@
 import type { ClusterOptions, SettingsTables } from './hostProcess.ts'
 import { Cluster } from './hostProcess.ts'
 
-export interface PlatformOptions {
+export interface TestPlatformOptions {
   readonly engines?: number
   readonly services?: number
   readonly engine?: Partial<EngineOptions>
@@ -20,7 +20,7 @@
 export type EngineTarget = StandIn & { readonly engine: EngineStandIn }
 export type ServiceTarget = StandIn & { readonly service: ServiceStandIn }
 
-export interface Platform {
+export interface TestPlatform {
   readonly log: StandIn & { readonly log: LogStandIn }
   readonly engines: readonly EngineTarget[]
   readonly services: readonly ServiceTarget[]
@@ -28,18 +28,18 @@
   readonly hostList: Awaited<ReturnType<typeof startHostList>>
   startCluster (hosts: ClusterOptions['hosts'], settings?: SettingsTables): Promise<Cluster>
   prepareCluster (hosts: ClusterOptions['hosts'], settings?: SettingsTables): Promise<Cluster>
-  /** Creates pools, targets, lanes and a subscription over all stand-ins. */
+  /** Creates pools, targets, lanes and a subscription that cover all engine and service stand-ins. */
   configure (cluster: Cluster): Promise<void>
   close (): Promise<void>
 }
 
-export async function startPlatform ({ engines = 1, services = 0, engine = {}, places = ['Abdali', 'Marka'] }: PlatformOptions = {}): Promise<Platform> {
+export async function startTestPlatform ({ engines = 1, services = 0, engine = {}, places = ['Abdali', 'Marka'] }: TestPlatformOptions = {}): Promise<TestPlatform> {
   const log = await startLog()
   const scorer = await startScorer()
   const hostList = await startHostList(200)
   const engineTargets = await Promise.all(Array.from({ length: engines }, async () => await startEngine({ reportLagMs: 50, ...engine })))
   const serviceTargets = await Promise.all(Array.from({ length: services }, async () => await startService()))
-  const placeOf = (index: number): string => places[index % places.length] ?? ''
+  const failureDomainOf = (index: number): string => places[index % places.length] ?? ''
   const options = (hosts: ClusterOptions['hosts'], settings?: SettingsTables): ClusterOptions => ({
     hosts, logAddress: log.address, hostListAddress: hostList.address, scorerAddress: scorer.address, ...(settings === undefined ? {} : { settings })
   })
@@ -54,12 +54,12 @@
     configure: async (cluster) => {
       const slots = engine.slots ?? 8
       if (engines > 0) {
-        await cluster.order(`create pool drafter copies ${engines}`, 'create lane desk pool drafter priority 0 deadline 10s', 'create subscription drafts pool drafter trainer trainer staleness 1 maximumTokens 64')
-        await cluster.order(...engineTargets.map(({ address }, index) => `create target drafter-${index} pool drafter address "${address}" place ${placeOf(index)} slots ${slots} fenced ${engine.fenced ?? true}`))
+        await cluster.execute(`create pool drafter copies ${engines}`, 'create lane desk pool drafter priority 0 deadline 10s', 'create subscription drafts pool drafter trainer trainer staleness 1 maximumTokens 64')
+        await cluster.execute(...engineTargets.map(({ address }, index) => `create target drafter-${index} pool drafter address "${address}" place ${failureDomainOf(index)} slots ${slots} fenced ${engine.fenced ?? true}`))
       }
       if (services > 0) {
-        await cluster.order(`create pool viewings copies ${services}`, 'create lane bookings pool viewings priority 0 deadline 10s')
-        await cluster.order(...serviceTargets.map(({ address }, index) => `create target viewings-${index} pool viewings type service address "${address}" place ${placeOf(index)} slots 8`))
+        await cluster.execute(`create pool viewings copies ${services}`, 'create lane bookings pool viewings priority 0 deadline 10s')
+        await cluster.execute(...serviceTargets.map(({ address }, index) => `create target viewings-${index} pool viewings type service address "${address}" place ${failureDomainOf(index)} slots 8`))
       }
     },
     close: async () => { await Promise.all([log, scorer, hostList, ...engineTargets, ...serviceTargets].map(async (standIn) => { await standIn.close() })) }
--- a/test/support/processorWaits.ts
+++ b/test/support/processorWaits.ts
@@ -1,32 +1,31 @@
 /**
- * Time in which this process wanted the processor and did not have it. Limits of time that a test checks are about what the program
- * waits for; beside busy processes its own turns come late as well, and that is taken off. Time in which the process itself was
- * busy is not.
+ * Measures the time in which this process was runnable but was not scheduled. Tests with time limits subtract it, so that load
+ * from other processes does not make them fail. Time in which the process itself used the processor is not subtracted.
  */
 
 import type { Disposable } from '../../src/base/common/lifecycle.ts'
 
-/** Time between two looks, in milliseconds: a wait is known to about this. */
-const LOOK_MS = 5
+/** Sampling interval, in milliseconds. It is also the approximate resolution of the measured waits. */
+const SAMPLING_INTERVAL_MS = 5
 
-interface Wait {
+interface ProcessorWait {
   readonly until: number
   readonly milliseconds: number
 }
 
 export class ProcessorWaits implements Disposable {
-  private readonly waits: Wait[] = []
+  private readonly waits: ProcessorWait[] = []
   private readonly timer: NodeJS.Timeout
-  private lookedAt = performance.now()
-  private spentMs = spentByProcess()
+  private sampledAt = performance.now()
+  private usedMs = processorTimeMs()
 
   constructor () {
-    this.timer = setInterval(() => { this.look() }, LOOK_MS)
+    this.timer = setInterval(() => { this.sample() }, SAMPLING_INTERVAL_MS)
   }
 
-  /** Milliseconds between two moments in which the process waited for its turn. */
-  between (from: number, to: number): number {
-    this.look()
+  /** Returns how long the process waited for the processor between two points in time, in milliseconds. */
+  waitedMsBetween (from: number, to: number): number {
+    this.sample()
     return this.waits.reduce((sum, { until, milliseconds }) => sum + Math.max(0, Math.min(to, until) - Math.max(from, until - milliseconds)), 0)
   }
 
@@ -34,17 +33,17 @@
     clearInterval(this.timer)
   }
 
-  private look (): void {
+  private sample (): void {
     const now = performance.now()
-    const spentMs = spentByProcess()
-    const milliseconds = now - this.lookedAt - LOOK_MS - (spentMs - this.spentMs)
+    const usedMs = processorTimeMs()
+    const milliseconds = now - this.sampledAt - SAMPLING_INTERVAL_MS - (usedMs - this.usedMs)
     if (milliseconds > 0) this.waits.push({ until: now, milliseconds })
-    this.lookedAt = now
-    this.spentMs = spentMs
+    this.sampledAt = now
+    this.usedMs = usedMs
   }
 }
 
-function spentByProcess (): number {
+function processorTimeMs (): number {
   const { user, system } = process.cpuUsage()
   return (user + system) / 1000
 }
--- a/test/support/rawCaller.ts
+++ b/test/support/rawCaller.ts
@@ -1,4 +1,4 @@
-/** A caller that writes its request as it is and tells how its connection ended. */
+/** A caller that sends a raw request and reports how its connection ended. */
 
 import { connect } from 'node:net'
 
@@ -10,9 +10,9 @@
 export interface RawCall {
   /** Origin of a host. */
   readonly address: string
-  /** Head and body. */
+  /** Request head and body. */
   readonly message: string
-  /** How long nothing is read, in milliseconds. */
+  /** Time before reading starts, in milliseconds. */
   readonly pauseMs?: number
 }
 
@@ -20,19 +20,19 @@
   const { hostname, port } = new URL(address)
   const pieces: Buffer[] = []
   return await new Promise((resolve, reject) => {
-    const told = (end: RawAnswer['end']): void => { resolve({ text: Buffer.concat(pieces).toString(), end }) }
-    const take = (length: number, buffer: Uint8Array): boolean => {
+    const finish = (end: RawAnswer['end']): void => { resolve({ text: Buffer.concat(pieces).toString(), end }) }
+    const onRead = (length: number, buffer: Uint8Array): boolean => {
       pieces.push(Buffer.from(buffer.subarray(0, length)))
-      // Read on within this turn, a reset that has come already would be told as an end.
+      // If reading continued within this turn, a reset that has already arrived would be reported as a regular end.
       setImmediate(() => { socket.resume() })
       return false
     }
-    const socket = connect({ host: hostname, port: Number(port), onread: { buffer: Buffer.alloc(65_536), callback: take } })
+    const socket = connect({ host: hostname, port: Number(port), onread: { buffer: Buffer.alloc(65_536), callback: onRead } })
     socket.pause()
     setTimeout(() => { socket.resume() }, pauseMs)
-    socket.once('end', () => { told('ended') })
+    socket.once('end', () => { finish('ended') })
     socket.once('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === 'ECONNRESET') told('reset')
+      if (error.code === 'ECONNRESET') finish('reset')
       else reject(error)
     })
     socket.write(message)
--- a/test/support/recordedLog.ts
+++ b/test/support/recordedLog.ts
@@ -1,4 +1,4 @@
-/** A log that keeps its lines for a test to read. */
+/** A state log that records its lines. */
 
 import type { LogDetails, StateLog } from '../../src/ports/common/observation.ts'
 
@@ -22,8 +22,8 @@
     this.lines.push({ what, details })
   }
 
-  /** Details of all lines of an event. */
-  of (what: string): LogDetails[] {
+  /** Returns the details of all lines with an event name. */
+  detailsOf (what: string): LogDetails[] {
     return this.lines.flatMap((line) => line.what === what ? [line.details] : [])
   }
 }
--- a/test/support/routes.ts
+++ b/test/support/routes.ts
@@ -1,9 +1,9 @@
-/** Routes and targets for tests. */
+/** Factories for routes and target definitions. */
 
 import type { Route } from '../../src/core/common/routes/routeConfiguration.ts'
 import type { TargetDefinition } from '../../src/core/common/routes/target.ts'
 
-export function route (details: Partial<Route> = {}): Route {
+export function newRoute (details: Partial<Route> = {}): Route {
   return {
     name: 'r',
     host: 'calls.example',
@@ -23,6 +23,6 @@
   }
 }
 
-export function targetDefinition (details: Partial<TargetDefinition> = {}): TargetDefinition {
+export function newTargetDefinition (details: Partial<TargetDefinition> = {}): TargetDefinition {
   return { id: 't', incarnation: undefined, service: 's', address: '127.0.0.1:1', place: 'here', slots: 6, draining: false, coldMs: 0, models: [], ...details }
 }
--- a/test/support/setup.ts
+++ b/test/support/setup.ts
@@ -1,4 +1,4 @@
-/** Loaded before all tests: snapshots for chai. */
+/** Loaded before all tests. Adds snapshot assertions to chai. */
 
 import * as chai from 'chai'
 import { jestSnapshotPlugin } from 'mocha-chai-jest-snapshot'
--- a/test/support/streams.ts
+++ b/test/support/streams.ts
@@ -1,4 +1,4 @@
-/** Reads a streamed completion as a caller does. */
+/** Client for streamed completions. */
 
 import { createParser } from 'eventsource-parser'
 import { request } from 'undici'
@@ -11,7 +11,7 @@
   readonly whole: boolean
   readonly segments: readonly Segment[]
   readonly error?: { readonly number: number, readonly effect: string, readonly code: string }
-  /** Comment lines that kept the connection alive. */
+  /** Number of comment lines, which are sent to keep the connection alive. */
   readonly heartbeats: number
 }
 
@@ -22,7 +22,7 @@
   readonly onText?: (text: string) => void
 }
 
-/** Streams a completion to its end. A connection that breaks gives `whole: false`. */
+/** Streams a completion to its end. If the connection breaks, `whole` is `false`. */
 export async function streamCompletion (address: string, { key = keys.caller, body, lane = 'desk', onText }: StreamOptions): Promise<StreamOutcome> {
   const answer = await request(`${address}/v1/lanes/${lane}/completions`, {
     method: 'POST',
--- a/test/support/texts.ts
+++ b/test/support/texts.ts
@@ -1,4 +1,4 @@
-/** Held texts for tests: their hosts, work on a step, and a history whose appends a test lets through. */
+/** Factories for item texts held by hosts and for step work, and a history whose append results are scripted. */
 
 import { UnfinishedTexts } from '../../src/actors/common/steps/unfinishedTexts.ts'
 import { ItemText } from '../../src/actors/common/steps/itemText.ts'
@@ -11,39 +11,39 @@
 import type { SubmittedItem, TrainerSubmission } from '../../src/core/common/steps/step.ts'
 import { StepFold } from '../../src/core/common/steps/stepFold.ts'
 import { submissionRecords } from '../../src/core/common/steps/stepRecords.ts'
-import type { History } from '../../src/ports/common/history.ts'
-import { quietLog, quietMetrics } from './fakeHost.ts'
+import type { UnkeyedLog } from '../../src/ports/common/unkeyedLog.ts'
+import { noopStateLog, noopMetrics } from './fakeHost.ts'
 import type { ManualClock } from './manualClock.ts'
-import { submission } from './steps.ts'
+import { newSubmission } from './steps.ts'
 
-/** What becomes of an append: `late` ones wait until they are let through. */
-export type AppendFate = 'kept' | 'lost' | 'answer lost' | 'late' | 'twice'
+/** Outcome of an append. A `late` append waits for `applyDelayedAppends`. */
+export type AppendOutcome = 'kept' | 'lost' | 'answer lost' | 'late' | 'twice'
 
-/** A history in memory that treats appends as it is told. */
-export class FatefulHistory implements History {
+/** A history in memory whose append outcome is set by the test. */
+export class ScriptedHistory implements UnkeyedLog {
   readonly records: string[] = []
-  fate: AppendFate = 'kept'
+  appendOutcome: AppendOutcome = 'kept'
   private first = 0
   private waiting: (() => void)[] = []
 
   async append (text: string): Promise<Result<number>> {
-    switch (this.fate) {
-      case 'kept': return this.keep(text)
+    switch (this.appendOutcome) {
+      case 'kept': return this.store(text)
       case 'lost': return failure('logUnavailable', 'lost')
       case 'answer lost': {
-        this.keep(text)
+        this.store(text)
         return failure('logUnavailable', 'the answer is lost')
       }
       case 'twice': {
-        this.keep(text)
-        return this.keep(text)
+        this.store(text)
+        return this.store(text)
       }
-      case 'late': return await new Promise((resolve) => { this.waiting.push(() => { resolve(this.keep(text)) }) })
+      case 'late': return await new Promise((resolve) => { this.waiting.push(() => { resolve(this.store(text)) }) })
     }
   }
 
-  /** Does the appends that are late. */
-  land (): void {
+  /** Applies the delayed appends. */
+  applyDelayedAppends (): void {
     for (const append of this.waiting.splice(0)) append()
   }
 
@@ -56,36 +56,36 @@
     return success(this.records.slice(this.first))
   }
 
-  private keep (text: string): Result<number> {
+  private store (text: string): Result<number> {
     this.records.push(text)
     return success(this.records.length - 1)
   }
 }
 
-let texts = 0
+let nextTextNumber = 0
 
-/** What one host holds of texts, over a history that hosts share. */
-export function textsOfHost (history: History, clock: ManualClock): { readonly held: UnfinishedTexts, readonly progress: ProgressStore } {
-  const progress = new ProgressStore({ history, clock, metrics: quietMetrics, stateLog: quietLog }, { saveIntervalMs: 0, maxRecordBytes: 100_000, enabled: true })
-  return { held: new UnfinishedTexts({ progress, clock, metrics: quietMetrics, nonce: () => `n${texts++}` }), progress }
+/** Creates the held texts of one host, over a history that may be shared with other hosts. */
+export function newHostTexts (history: UnkeyedLog, clock: ManualClock): { readonly held: UnfinishedTexts, readonly progress: ProgressStore } {
+  const progress = new ProgressStore({ history, clock, metrics: noopMetrics, stateLog: noopStateLog }, { saveIntervalMs: 0, maxRecordBytes: 100_000, enabled: true })
+  return { held: new UnfinishedTexts({ progress, clock, metrics: noopMetrics, nonce: () => `n${nextTextNumber++}` }), progress }
 }
 
 export function newText (): ItemText {
-  return new ItemText(() => asTextId(`n${texts++}`))
+  return new ItemText(() => asTextId(`n${nextTextNumber++}`))
 }
 
-/** A step as a host holds it that runs it, with all its items waiting and their payloads read. */
-export function workOn (id: string, items: readonly SubmittedItem[], details: Partial<TrainerSubmission> = {}): StepWork {
+/** Creates the state of a step on the host that runs it, with all items waiting and their payloads loaded. */
+export function newStepWork (id: string, items: readonly SubmittedItem[], details: Partial<TrainerSubmission> = {}): StepWork {
   const fold = new StepFold()
-  fold.apply(submissionRecords(submission(id, items, details), details.minimumVersion ?? 1, 'n').outline.map((record, offset) => ({ ...record, offset })))
+  fold.apply(submissionRecords(newSubmission(id, items, details), details.minimumVersion ?? 1, 'n').outline.map((record, offset) => ({ ...record, offset })))
   const step = fold.step(id)
-  if (step === undefined) throw new Error('the step is not accepted')
+  if (step === undefined) throw new Error(`step ${id} was not accepted`)
   const waiting = items.map((submitted) => newItemWork({ item: submitted, rank: 'wanted' }, newText(), 0))
   return { step, items: new Map(waiting.map((itemWork) => [itemWork.item.id, itemWork])), payloads: new Map(items.map((submitted) => [submitted.id, submitted])), longItemMinTokens: 0, carriedGroups: new Set(), finished: new Map(), waiting }
 }
 
-export function itemOf (work: StepWork, id: string): ItemWork {
+export function itemWorkOf (work: StepWork, id: string): ItemWork {
   const itemWork = work.items.get(id)
-  if (itemWork === undefined) throw new Error(`there is no item ${id}`)
+  if (itemWork === undefined) throw new Error(`no item has the id ${id}`)
   return itemWork
 }
--- a/tools/bench/admission.ts
+++ b/tools/bench/admission.ts
@@ -1,30 +1,32 @@
 /**
- * Goodput and refusals from half to three times the capacity, and the time to recover: admission by
- * homes against a baseline without it, in which hosts send everything on and engines queue.
+ * Measures goodput and refusals at offered loads from half to three times the capacity, and goodput after the
+ * overload. Compares admission control by the home of each shard with a baseline without it, in which hosts
+ * forward every request and the engines queue.
  */
 
 import { request } from 'undici'
 import { keys } from '../../test/support/hostProcess.ts'
-import { startPlatform } from '../../test/support/platform.ts'
+import { startTestPlatform } from '../../test/support/platform.ts'
 import type { Experiment } from './report.ts'
 import { spread } from './report.ts'
 
-const RUNS = 3
-const SECONDS = 3
+const RUNS_PER_LOAD = 3
+const LOAD_DURATION_SECONDS = 3
 const DEADLINE_MS = 600
-const ENGINES = 4
-const SLOTS = 4
-const OFFERED = [0.5, 1, 1.5, 2, 3] as const
-/** Milliseconds of an answer of 16 tokens: prefill and 4 steps of 20 ms. */
+const ENGINE_COUNT = 4
+const SLOTS_PER_ENGINE = 4
+const OFFERED_LOADS = [0.5, 1, 1.5, 2, 3] as const
+/** Duration of an answer of 16 tokens, in milliseconds: prefill (5 ms) and 4 steps of 20 ms. */
 const SERVICE_MS = 85
 
-interface Outcome { readonly good: number, readonly refused: number, readonly late: number, readonly refusalMs: number, readonly p99: number }
+interface LoadOutcome { readonly good: number, readonly refused: number, readonly late: number, readonly refusalMs: number, readonly p99: number }
 
-async function offer (addresses: readonly string[], lane: string, perSecond: number): Promise<Outcome> {
-  const waits: number[] = []
-  const refusals: number[] = []
+/** Sends requests at a constant rate, independent of the answers, and counts answers within the deadline, refusals and late answers. */
+async function measureLoad (addresses: readonly string[], lane: string, perSecond: number): Promise<LoadOutcome> {
+  const latencies: number[] = []
+  const refusalLatencies: number[] = []
   let late = 0
-  const ask = async (index: number): Promise<void> => {
+  const sendRequest = async (index: number): Promise<void> => {
     const began = performance.now()
     try {
       const answer = await request(`${addresses[index % addresses.length] ?? ''}/v1/lanes/${lane}/completions`, {
@@ -35,53 +37,53 @@
       })
       await answer.body.dump()
       const took = performance.now() - began
-      if (answer.statusCode === 200 && took <= DEADLINE_MS) waits.push(took)
-      else if (answer.statusCode === 503 || answer.statusCode === 429) refusals.push(took)
+      if (answer.statusCode === 200 && took <= DEADLINE_MS) latencies.push(took)
+      else if (answer.statusCode === 503 || answer.statusCode === 429) refusalLatencies.push(took)
       else late++
     } catch {
       late++
     }
   }
-  const total = Math.round(perSecond * SECONDS)
-  const asked: Promise<void>[] = []
+  const total = Math.round(perSecond * LOAD_DURATION_SECONDS)
+  const pending: Promise<void>[] = []
   const began = performance.now()
   for (let index = 0; index < total; index++) {
-    const due = began + index * 1000 / perSecond
-    const wait = due - performance.now()
-    if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait))
-    asked.push(ask(index))
+    const dueAt = began + index * 1000 / perSecond
+    const delayMs = dueAt - performance.now()
+    if (delayMs > 0) await new Promise((resolve) => setTimeout(resolve, delayMs))
+    pending.push(sendRequest(index))
   }
-  await Promise.all(asked)
-  waits.sort((a, b) => a - b)
-  refusals.sort((a, b) => a - b)
-  return { good: waits.length / SECONDS, refused: refusals.length / total, late: late / total, refusalMs: refusals[Math.floor(refusals.length * 0.9)] ?? 0, p99: waits[Math.floor(waits.length * 0.99)] ?? 0 }
+  await Promise.all(pending)
+  latencies.sort((a, b) => a - b)
+  refusalLatencies.sort((a, b) => a - b)
+  return { good: latencies.length / LOAD_DURATION_SECONDS, refused: refusalLatencies.length / total, late: late / total, refusalMs: refusalLatencies[Math.floor(refusalLatencies.length * 0.9)] ?? 0, p99: latencies[Math.floor(latencies.length * 0.99)] ?? 0 }
 }
 
 export async function measureAdmission (): Promise<Experiment> {
-  const capacity = ENGINES * SLOTS * 1000 / SERVICE_MS
+  const capacity = ENGINE_COUNT * SLOTS_PER_ENGINE * 1000 / SERVICE_MS
   const figures: object[] = []
   const points: { series: string, x: number, y: number }[] = []
   for (const way of ['homes', 'engines queue'] as const) {
-    const platform = await startPlatform({ engines: ENGINES, engine: { slots: SLOTS, stepMs: 20, tokensPerStep: 4, answerTokens: 200, prefillMs: 5, prefixes: 100 } })
+    const platform = await startTestPlatform({ engines: ENGINE_COUNT, engine: { slots: SLOTS_PER_ENGINE, stepMs: 20, tokensPerStep: 4, answerTokens: 200, prefillMs: 5, prefixes: 100 } })
     const cluster = await platform.startCluster([{ name: 'abdali-1', place: 'Abdali' }, { name: 'abdali-2', place: 'Abdali' }, { name: 'marka-1', place: 'Marka' }, { name: 'marka-2', place: 'Marka' }])
     try {
       await platform.configure(cluster)
-      await cluster.order('set lane desk callerLimit 100000')
-      if (way === 'engines queue') await cluster.order(...platform.engines.map((_, index) => `set target drafter-${index} slots 4096`))
+      await cluster.execute('set lane desk callerLimit 100000')
+      if (way === 'engines queue') await cluster.execute(...platform.engines.map((_, index) => `set target drafter-${index} slots 4096`))
       const addresses = cluster.hosts.map(({ address }) => address)
-      await offer(addresses, 'desk', capacity / 2)
-      for (const load of OFFERED) {
-        const runs: Outcome[] = []
-        for (let run = 0; run < RUNS; run++) {
-          runs.push(await offer(addresses, 'desk', capacity * load))
+      await measureLoad(addresses, 'desk', capacity / 2)
+      for (const load of OFFERED_LOADS) {
+        const runs: LoadOutcome[] = []
+        for (let run = 0; run < RUNS_PER_LOAD; run++) {
+          runs.push(await measureLoad(addresses, 'desk', capacity * load))
           await new Promise((resolve) => setTimeout(resolve, 700))
         }
-        const good = spread(runs.map((run) => run.good))
-        figures.push({ way, offeredOverCapacity: load, goodPerSecond: good, refusedShare: spread(runs.map(({ refused }) => refused)), lateShare: spread(runs.map((run) => run.late)), refusalMsP90: spread(runs.map(({ refusalMs }) => refusalMs)), p99: spread(runs.map(({ p99 }) => p99)) })
-        points.push({ series: way, x: load, y: good.median })
+        const goodput = spread(runs.map((run) => run.good))
+        figures.push({ way, offeredOverCapacity: load, goodPerSecond: goodput, refusedShare: spread(runs.map(({ refused }) => refused)), lateShare: spread(runs.map((run) => run.late)), refusalMsP90: spread(runs.map(({ refusalMs }) => refusalMs)), p99: spread(runs.map(({ p99 }) => p99)) })
+        points.push({ series: way, x: load, y: goodput.median })
       }
-      const after = await offer(addresses, 'desk', capacity * 0.7)
-      figures.push({ way, afterOverload: after })
+      const recovery = await measureLoad(addresses, 'desk', capacity * 0.7)
+      figures.push({ way, afterOverload: recovery })
     } finally {
       await cluster.stop()
       await platform.close()
--- a/tools/bench/processUsage.ts
+++ b/tools/bench/processUsage.ts
@@ -1,4 +1,4 @@
-/** Processor time and memory of a process, as the kernel counts them. */
+/** Reads the processor time and resident memory of a process from /proc. */
 
 import { readFileSync } from 'node:fs'
 
--- a/tools/bench/report.ts
+++ b/tools/bench/report.ts
@@ -1,4 +1,4 @@
-/** What every experiment writes: its figures as JSON and one plot as SVG, under reports/. */
+/** Writes the results of an experiment to reports/: its figures as JSON and one plot as SVG. */
 
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { cpus, totalmem } from 'node:os'
@@ -6,8 +6,7 @@
 import { compile } from 'vega-lite'
 import { View, parse } from 'vega'
 
-/** One point of a plot. */
-export interface Point {
+export interface PlotPoint {
   readonly series: string
   readonly x: number | string
   readonly y: number
@@ -16,17 +15,17 @@
 export interface Experiment {
   readonly name: string
   readonly figures: unknown
-  readonly plot?: { readonly title: string, readonly x: string, readonly y: string, readonly mark: 'bar' | 'line', readonly points: readonly Point[] }
+  readonly plot?: { readonly title: string, readonly x: string, readonly y: string, readonly mark: 'bar' | 'line', readonly points: readonly PlotPoint[] }
 }
 
 export async function writeExperiment (experiment: Experiment): Promise<void> {
   mkdirSync('reports', { recursive: true })
   const machine = { cores: cpus().length, memoryGigabytes: Math.round(totalmem() / 2 ** 30), node: process.version }
   writeFileSync(`reports/${experiment.name}.json`, JSON.stringify({ name: experiment.name, at: new Date().toISOString(), machine, figures: experiment.figures }, undefined, 2))
-  if (experiment.plot !== undefined) writeFileSync(`reports/${experiment.name}.svg`, await draw(experiment.plot))
+  if (experiment.plot !== undefined) writeFileSync(`reports/${experiment.name}.svg`, await renderPlot(experiment.plot))
 }
 
-async function draw (plot: NonNullable<Experiment['plot']>): Promise<string> {
+async function renderPlot (plot: NonNullable<Experiment['plot']>): Promise<string> {
   const nominal = plot.points.some(({ x }) => typeof x === 'string')
   const spec: TopLevelSpec = {
     title: plot.title,
@@ -44,9 +43,9 @@
   return await new View(parse(compile(spec).spec), { renderer: 'none' }).toSVG()
 }
 
-/** Median and spread of several runs. */
+/** Returns the median, minimum and maximum of several runs. */
 export function spread (values: readonly number[]): { median: number, least: number, most: number } {
   const sorted = [...values].sort((a, b) => a - b)
-  const round = (value: number | undefined): number => Math.round((value ?? Number.NaN) * 1000) / 1000
-  return { median: round(sorted[Math.floor(sorted.length / 2)]), least: round(sorted[0]), most: round(sorted.at(-1)) }
+  const roundToThousandths = (value: number | undefined): number => Math.round((value ?? Number.NaN) * 1000) / 1000
+  return { median: roundToThousandths(sorted[Math.floor(sorted.length / 2)]), least: roundToThousandths(sorted[0]), most: roundToThousandths(sorted.at(-1)) }
 }
--- a/tools/build.js
+++ b/tools/build.js
@@ -1,4 +1,4 @@
-// Builds dist/: the program as one script with its compiled code, then as one binary, and the stand-ins.
+// Builds dist/: the program as a single script with a V8 code cache, as a single executable, and the stand-ins.
 import { build } from 'esbuild'
 import { execFileSync, spawnSync } from 'node:child_process'
 import { chmodSync, copyFileSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs'
@@ -6,10 +6,10 @@
 import { parse } from 'smol-toml'
 
 const SENTINEL = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2'
-/** Longest time for compiling, in milliseconds: many times what a busy machine takes. */
+/** Timeout for writing the code cache, in milliseconds. It is many times longer than a busy machine needs. */
 const COMPILE_LIMIT_MS = 60_000
 
-/** Of undici the program uses connections and pools of HTTP/1.1 alone; the rest would be loaded at each start: fetch, caches, HTTP/2. */
+/** Bundles only the parts of undici that the program uses, HTTP/1.1 clients and pools. The full package would also load fetch, caches and HTTP/2 at every start. */
 const undiciParts = {
   name: 'undici-parts',
   setup ({ onResolve }) {
@@ -19,18 +19,18 @@
 }
 const shared = { bundle: true, platform: 'node', target: 'node20', format: 'cjs', external: ['unix-dgram'], logLevel: 'warning', minifyWhitespace: true, legalComments: 'external', define: { 'import.meta.url': 'importMetaUrl' }, banner: { js: 'const importMetaUrl = require("node:url").pathToFileURL(__filename).href;' } }
 
-/** Options of the engine with which the platform starts a host. */
+/** Returns the Node.js options with which the platform starts a host. */
 function hostOptions () {
   const words = parse(readFileSync('deploy/system.toml', 'utf8')).roles.host.run.split(' ')
   return words.slice(1, words.findIndex((word) => word.endsWith('.cjs')))
 }
 
-/** Runs the program for a moment, as a host without a store, so that what a start compiles is kept; the engine takes it back under the same options only. */
+/** Runs the program briefly, as a host whose store is unreachable, and writes the code cache. V8 accepts a code cache only under the same options. */
 function compile () {
-  // Without compiled code hosts start all the same, only later: an empty file is passed over, and a missing one would end the deployment's build.
+  // Hosts start without a code cache too, only more slowly. An empty file is ignored, but a missing file would fail the build of the deployment.
   writeFileSync('dist/bulrushvalve.compiled', '')
   const { status } = spawnSync(process.execPath, [...hostOptions(), 'dist/start.cjs', '--write-compiled', 'serve', '--settings', 'tools/compile.toml'], { stdio: 'ignore', timeout: COMPILE_LIMIT_MS })
-  if (status !== 0) process.stderr.write('the program was not compiled ahead: hosts will start more slowly\n')
+  if (status !== 0) process.stderr.write('writing the V8 code cache failed: hosts will start more slowly\n')
 }
 
 mkdirSync('dist', { recursive: true })
--- a/tools/days/playDays.sh
+++ b/tools/days/playDays.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Plays the days of deploy/days on a site and prints a line for each, and whatever the bench says before its table
-# (broken rules, processes that ended by themselves). Usage: sh tools/days/playDays.sh BENCH SITE.toml [PATTERN]
+# Runs the test days of deploy/days on a site and prints the result line of each, and all output of the bench before
+# its table (violated rules, processes that exited unexpectedly).
+# Usage: sh tools/days/playDays.sh BENCH SITE.toml [PATTERN]
 set -u
 bench=$1
 site=$2
--- a/tools/days/writeDays.ts
+++ b/tools/days/writeDays.ts
@@ -1,18 +1,18 @@
 /**
- * Writes a day for each kind of trouble and variant into deploy/days: the trouble comes twice, once
- * early and once in the middle. Pairs put a trouble of the hosts beside one of the store.
+ * Writes one test day per kind and variant of fault into deploy/days. Each fault is injected twice, once
+ * early in the day and once in the middle. Combined days inject several faults that overlap.
  */
 
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { stringify } from 'smol-toml'
 
-interface Trouble {
+interface Fault {
   readonly kind: string
   readonly [setting: string]: string | number
 }
 
-/** Settings of each kind, and its variants. */
-const troubles: readonly { readonly trouble: Trouble, readonly variants: readonly string[], readonly plan?: boolean }[] = [
+/** Settings of each kind of fault, and its variants. `plan` marks planned operations, which are written under `plan` instead of `faults`. */
+const faultVariants: readonly { readonly trouble: Fault, readonly variants: readonly string[], readonly plan?: boolean }[] = [
   { trouble: { kind: 'give_up', share: 0.3, for_s: 5 }, variants: [''] },
   { trouble: { kind: 'srv_crash', share: 0.2, for_s: 5 }, variants: ['', 'dark', 'gone'] },
   { trouble: { kind: 'srv_slow', share: 0.2, x: 4, for_s: 6 }, variants: [''] },
@@ -49,18 +49,18 @@
   { trouble: { kind: 'burst', x: 3, for_s: 5 }, variants: [''] }
 ]
 
-/** Seconds of the first and second time. */
+/** Times at which a fault is injected, in seconds. */
 const FIRST_S = 5
 const SECOND_S = 17
 
 interface NamedDay {
   readonly name: string
-  readonly faults: readonly Trouble[]
-  readonly plan?: readonly Trouble[]
+  readonly faults: readonly Fault[]
+  readonly plan?: readonly Fault[]
 }
 
-/** Connections to the store that go silent for good, and then what every host has to hear of: a configuration, and targets that leave. */
-function unanswered (name: string, share: number, at: number): NamedDay {
+/** A day on which connections to the store go silent for good, followed by changes that every host has to receive: a configuration change, and targets that leave. */
+function unansweredConnectionsDay (name: string, share: number, at: number): NamedDay {
   return {
     name,
     faults: [{ kind: 'reset_conns', how: 'silent store', share, at }],
@@ -68,27 +68,27 @@
   }
 }
 
-const pairs: readonly NamedDay[] = [
-  unanswered('unanswered', 0.7, 9),
-  unanswered('unanswered-all-early', 1, 4),
-  unanswered('unanswered-half-at-change', 0.5, 13.4),
-  unanswered('unanswered-few-late', 0.3, 12),
+const combinedDays: readonly NamedDay[] = [
+  unansweredConnectionsDay('unanswered', 0.7, 9),
+  unansweredConnectionsDay('unanswered-all-early', 1, 4),
+  unansweredConnectionsDay('unanswered-half-at-change', 0.5, 13.4),
+  unansweredConnectionsDay('unanswered-few-late', 0.3, 12),
   { name: 'pair-kill-and-outage', faults: [{ kind: 'platform_down', how: 'silent', for_s: 4, at: 8 }, { kind: 'node_kill', on: 'core', count: 1, how: 'leader', for_s: 3, at: 9 }] },
   { name: 'pair-freeze-and-late-orders', faults: [{ kind: 'applied_late', how: 'orders', x: 0.5, for_s: 8, at: 6 }, { kind: 'node_freeze', on: 'core', count: 1, how: 'leader', for_s: 4, at: 8 }] },
   { name: 'pair-cut-and-slow-engine', faults: [{ kind: 'srv_slow', share: 0.2, x: 4, for_s: 8, at: 6 }, { kind: 'core_cut', count: 1, how: 'leader', for_s: 6, at: 8 }] },
   { name: 'pair-lost-answers-and-herd', faults: [{ kind: 'platform_lost', how: 'late', x: 0.35, for_s: 6, at: 6 }, { kind: 'herd_kill', share: 0.6, for_s: 2, at: 8 }] },
   { name: 'pair-slow-store-and-crash', faults: [{ kind: 'platform_slow', x: 60, for_s: 6, at: 6 }, { kind: 'srv_crash', how: 'dark', share: 0.2, for_s: 5, at: 8 }] },
-  // Keys that are taken away while hosts cannot hear of it.
+  // Keys that are revoked while hosts cannot receive the revocation.
   { name: 'revoke-in-outage', faults: [{ kind: 'platform_down', how: 'silent', for_s: 9, at: 8 }], plan: [{ kind: 'revoke', count: 6, gap_s: 0.6, at: 6 }, { kind: 'revoke', count: 2, how: 'last', gap_s: 0.5, at: 18 }] },
   { name: 'revoke-in-cuts', faults: [{ kind: 'node_cut', share: 0.3, how: 'meet', for_s: 9, at: 6 }, { kind: 'platform_down', share: 0.35, how: 'nodes silent revoke meet', for_s: 9, at: 18 }], plan: [{ kind: 'revoke', count: 6, gap_s: 0.8, at: 7 }] },
   { name: 'revoke-in-freezes', faults: [{ kind: 'node_freeze', on: 'core', share: 0.25, for_s: 7, at: 6 }, { kind: 'node_freeze', on: 'core', share: 0.25, for_s: 6, at: 17 }], plan: [{ kind: 'revoke', count: 5, gap_s: 0.6, at: 6.5 }, { kind: 'revoke', count: 5, gap_s: 0.6, at: 17.5 }] },
   { name: 'revoke-and-clock-steps', faults: [{ kind: 'clock_step', how: 'back', share: 0.3, x: 2000, for_s: 5, at: 6 }, { kind: 'clock_step', how: 'ahead', share: 0.3, x: 2000, for_s: 5, at: 15 }, { kind: 'node_freeze', on: 'core', share: 0.2, for_s: 6, at: 8 }], plan: [{ kind: 'revoke', count: 8, gap_s: 1, at: 6.5 }] },
-  // Holders of the duty that go between the end of a window and its report.
+  // Duty holders that fail between the end of a usage window and its report.
   { name: 'duty-holders-killed', faults: [5, 9.5, 14, 18.5, 23].map((at) => ({ kind: 'node_kill', on: 'core', count: 1, how: 'leader', for_s: 3, at })) },
   { name: 'duty-holders-frozen', faults: [6, 13, 20].map((at) => ({ kind: 'node_freeze', on: 'core', count: 1, how: 'leader', for_s: 4.5, at })) },
   { name: 'duty-interface-away', faults: [{ kind: 'cloud_down', how: 'silent', for_s: 6, at: 5 }, { kind: 'cloud_slow', x: 50, for_s: 6, at: 14 }, { kind: 'node_kill', on: 'core', count: 1, how: 'leader', for_s: 3, at: 8 }, { kind: 'cloud_down', how: 'busy', for_s: 5, at: 22 }] },
   { name: 'targets-reclaimed-in-steps', faults: [{ kind: 'scale_in', how: 'reclaim', x: 2, for_s: 6, at: 6 }, { kind: 'scale_in', how: 'reclaim dry', x: 2, for_s: 6, at: 16 }] },
-  // Appends done late while hosts go around the store, and then every host loads its topics anew.
+  // Appends that take effect late while hosts cannot reach the store, after which every host restarts and reloads its topics.
   {
     name: 'pair-lost-answers-and-restarts',
     faults: [{ kind: 'platform_down', how: 'busy', for_s: 4.5, at: 3.4 }, { kind: 'platform_lost', how: 'late', x: 0.35, for_s: 4.5, at: 8.2 }, { kind: 'platform_down', how: 'nodes many', share: 0.35, for_s: 5, at: 12.9 }],
@@ -96,22 +96,22 @@
   }
 ]
 
-const closings: readonly Trouble[] = [
+const closings: readonly Fault[] = [
   { kind: 'power_off_all', down_s: 1, how: 'all taken' },
   { kind: 'power_off_all', down_s: 1, how: 'timed' },
   { kind: 'kill_all', down_s: 1 }
 ]
 
-function write (name: string, day: object): void {
+function writeDay (name: string, day: object): void {
   writeFileSync(`deploy/days/${name}.toml`, `${stringify({ name, slot: 'trouble', seed: 1, ...day })}\n`)
 }
 
 mkdirSync('deploy/days', { recursive: true })
-for (const { trouble, variants, plan = false } of troubles) {
-  for (const how of variants) {
-    const entries = [FIRST_S, SECOND_S].map((at) => ({ ...trouble, at, ...(how === '' ? {} : { how }) }))
-    write([trouble.kind, ...how.split(' ')].filter((word) => word !== '').join('-').replaceAll('_', '-'), plan ? { plan: entries } : { faults: entries })
+for (const { trouble: fault, variants, plan = false } of faultVariants) {
+  for (const variant of variants) {
+    const entries = [FIRST_S, SECOND_S].map((at) => ({ ...fault, at, ...(variant === '' ? {} : { how: variant }) }))
+    writeDay([fault.kind, ...variant.split(' ')].filter((word) => word !== '').join('-').replaceAll('_', '-'), plan ? { plan: entries } : { faults: entries })
   }
 }
-for (const { name, ...day } of pairs) write(name, day)
-for (const closing of closings) write(['closing', closing.kind, ...String(closing.how ?? '').split(' ')].filter((word) => word !== '').join('-').replaceAll('_', '-'), { closing })
+for (const { name, ...day } of combinedDays) writeDay(name, day)
+for (const closing of closings) writeDay(['closing', closing.kind, ...String(closing.how ?? '').split(' ')].filter((word) => word !== '').join('-').replaceAll('_', '-'), { closing })
--- a/tools/demo/addressBook.ts
+++ b/tools/demo/addressBook.ts
@@ -1,4 +1,4 @@
-/** How a caller finds a host: asks the system, keeps the answer for a while, goes elsewhere when refused. */
+/** Client-side discovery of hosts: reads the list of hosts from any known host, caches it for its validity period, and avoids hosts that failed. */
 
 import { request } from 'undici'
 
@@ -13,7 +13,7 @@
 
   constructor (private readonly seeds: readonly string[]) {}
 
-  /** An address drawn by weight, other than those given. */
+  /** Returns a random address, weighted, that is not in `avoid`. If all are, any address may be returned. */
   async next (avoid: ReadonlySet<string> = new Set()): Promise<string> {
     if (Date.now() >= this.validUntil) await this.refresh()
     const usable = this.entries.filter(({ address }) => !avoid.has(address))
--- a/tools/demo/callers.ts
+++ b/tools/demo/callers.ts
@@ -1,8 +1,8 @@
-/** Callers of the demo: interactive streams, status queries, and entries that must run once. */
+/** Callers of the demo: interactive streams, status queries, and once-only entries. */
 
 import { randomUUID } from 'node:crypto'
 import { request } from 'undici'
-import { attributionFaults } from '../../test/support/judge.ts'
+import { findAttributionErrors } from '../../test/support/attributionChecks.ts'
 import { keys } from '../../test/support/hostProcess.ts'
 import { streamCompletion } from '../../test/support/streams.ts'
 import type { AddressBook } from './addressBook.ts'
@@ -15,11 +15,11 @@
   readonly tally: Tally
   readonly latencies: Latencies
   readonly running: () => boolean
-  /** Hosts that were killed, not stopped. */
-  readonly killed: ReadonlySet<string>
-  /** Hosts under a planned stop. */
-  readonly stopping: ReadonlySet<string>
-  /** Requests in flight by host. */
+  /** Addresses of hosts that were killed rather than stopped. */
+  readonly killedHosts: ReadonlySet<string>
+  /** Addresses of hosts that were told to stop. */
+  readonly stoppingHosts: ReadonlySet<string>
+  /** Number of requests in flight by host address. */
   readonly inFlight: Map<string, number>
 }
 
@@ -27,8 +27,8 @@
   await new Promise((resolve) => setTimeout(resolve, milliseconds))
 }
 
-/** Asks for streamed completions until told to stop; a request that breaks is asked again elsewhere. */
-export async function interactiveCaller (context: CallerContext, lane: string, seed: number): Promise<void> {
+/** Requests streamed completions until the demo ends. A failed request is retried on another host. */
+export async function runInteractiveCaller (context: CallerContext, lane: string, seed: number): Promise<void> {
   for (let turn = seed; context.running(); turn++) {
     context.tally.requests.asked++
     const prompt = `${questions[turn % questions.length] ?? ''} ${turn}`
@@ -48,14 +48,14 @@
     const outcome = await streamCompletion(address, { lane, body: { prompt, max_tokens: 48 } })
     if (outcome.whole) {
       tally.requests.answeredWhole++
-      tally.requests.wrongAnswers += attributionFaults(outcome.text, outcome.segments).length
+      tally.requests.wrongAnswers += findAttributionErrors(outcome.text, outcome.segments).length
       return true
     }
     if (outcome.error?.effect === 'not-run') tally.requests.refusedNotRun++
     else if (outcome.error !== undefined) tally.requests.unknown++
-    else noteBroken(context, address)
+    else recordBrokenRequest(context, address)
   } catch {
-    noteBroken(context, address)
+    recordBrokenRequest(context, address)
   } finally {
     inFlight.set(address, (inFlight.get(address) ?? 1) - 1)
   }
@@ -63,27 +63,27 @@
   return false
 }
 
-function noteBroken ({ tally, killed, stopping }: CallerContext, address: string): void {
+function recordBrokenRequest ({ tally, killedHosts: killed, stoppingHosts: stopping }: CallerContext, address: string): void {
   if (killed.has(address)) tally.requests.brokenByKill++
   else if (stopping.has(address)) tally.stop.cutByPlannedStop++
   else tally.requests.unknown++
 }
 
-/** Asks for the status of sheets until told to stop. */
-export async function statusCaller (context: CallerContext, lane: string): Promise<void> {
+/** Sends status queries until the demo ends. */
+export async function runStatusCaller (context: CallerContext, lane: string): Promise<void> {
   for (let sheet = 0; context.running(); sheet++) {
     context.tally.requests.asked++
     const began = performance.now()
     const avoid = new Set<string>()
     for (let attempt = 0; attempt < 5; attempt++) {
       const address = await context.book.next(avoid)
-      const answer = await ask(address, lane, `/status/${sheet}`, {})
+      const answer = await callService(address, lane, `/status/${sheet}`, {})
       if (answer?.status === 200) {
         context.tally.requests.answeredWhole++
         if (answer.body.path !== `/status/${sheet}`) context.tally.requests.wrongAnswers++
         break
       }
-      if (answer === undefined) noteBroken(context, address)
+      if (answer === undefined) recordBrokenRequest(context, address)
       else context.tally.requests.refusedNotRun++
       avoid.add(address)
       await pause(30)
@@ -93,14 +93,14 @@
   }
 }
 
-/** What the callers of once-only entries were told, by id. */
+/** The outcome that a caller was told for a once-only entry. */
 export interface EntryOutcome {
   readonly id: string
   state: 'answered' | 'not-run' | 'unknown'
 }
 
-/** Sends entries that must not be doubled, each several times and to several hosts. */
-export async function entryCaller (context: CallerContext, lane: string, outcomes: EntryOutcome[]): Promise<void> {
+/** Sends once-only entries until the demo ends, each several times and to several hosts. */
+export async function runEntryCaller (context: CallerContext, lane: string, outcomes: EntryOutcome[]): Promise<void> {
   while (context.running()) {
     const outcome: EntryOutcome = { id: randomUUID(), state: 'not-run' }
     outcomes.push(outcome)
@@ -108,8 +108,8 @@
     const began = performance.now()
     for (let attempt = 0; attempt < 8; attempt++) {
       const address = await context.book.next()
-      const answer = await ask(address, lane, '/ledger', headers, JSON.stringify({ flat: 12 }))
-      outcome.state = stateAfter(outcome.state, answer)
+      const answer = await callService(address, lane, '/ledger', headers, JSON.stringify({ flat: 12 }))
+      outcome.state = nextOutcomeState(outcome.state, answer)
       if (outcome.state === 'answered' && attempt > 0) break
       if (outcome.state === 'unknown' && attempt > 4) break
       await pause(outcome.state === 'answered' ? 0 : 100)
@@ -119,13 +119,13 @@
   }
 }
 
-function stateAfter (before: EntryOutcome['state'], answer: { status: number, body: Record<string, unknown> } | undefined): EntryOutcome['state'] {
+function nextOutcomeState (before: EntryOutcome['state'], answer: { status: number, body: Record<string, unknown> } | undefined): EntryOutcome['state'] {
   if (answer?.status === 200 || before === 'answered') return 'answered'
   const effect = (answer?.body.error as { effect?: string } | undefined)?.effect
   return effect === 'not-run' && before === 'not-run' ? 'not-run' : 'unknown'
 }
 
-async function ask (address: string, lane: string, path: string, headers: Record<string, string>, body?: string): Promise<{ status: number, body: Record<string, unknown> } | undefined> {
+async function callService (address: string, lane: string, path: string, headers: Record<string, string>, body?: string): Promise<{ status: number, body: Record<string, unknown> } | undefined> {
   try {
     const answer = await request(`${address}/v1/lanes/${lane}/services${path}`, {
       method: body === undefined ? 'GET' : 'POST',
--- a/tools/demo/standInProcesses.ts
+++ b/tools/demo/standInProcesses.ts
@@ -1,4 +1,4 @@
-/** Stand-ins as separate processes: started, asked for their records, ended by id. */
+/** Starts and stops stand-ins as separate processes and reads their records. */
 
 import type { ChildProcess } from 'node:child_process'
 import { spawn } from 'node:child_process'
@@ -7,12 +7,12 @@
 
 export interface StandInProcess {
   readonly address: string
-  /** Reads the stand-in's own record. */
+  /** Reads the record that the stand-in keeps of the work it did. */
   records<T> (): Promise<T>
   stop (): void
 }
 
-/** Starts one stand-in; resolves with its address. */
+/** Starts one stand-in and waits until it has printed its address. */
 export async function startStandInProcess (kind: string, options: object = {}): Promise<StandInProcess> {
   const child: ChildProcess = spawn(process.execPath, ['dist/standins.cjs', kind, '0', JSON.stringify(options)], { stdio: ['ignore', 'pipe', 'inherit'] })
   const [data] = await once(child.stdout as NonNullable<typeof child.stdout>, 'data') as [Buffer]
--- a/tools/demo/tally.ts
+++ b/tools/demo/tally.ts
@@ -1,4 +1,4 @@
-/** What the demo counts, from the trainers', engines' and services' own records. */
+/** Counts of the demo, taken from the records of the trainers, callers, engines and services. */
 
 import { build } from 'hdr-histogram-js'
 
@@ -24,7 +24,7 @@
   }
 }
 
-/** Latencies by name. */
+/** Latency histograms by name, with a resolution of 0.01 ms. */
 export class Latencies {
   private readonly histograms = new Map<string, ReturnType<typeof build>>()
 
@@ -42,8 +42,8 @@
   }
 }
 
-/** What is wrong with a tally; empty where the demo kept all promises and did its work. */
-export function faultsOf (tally: Tally): string[] {
+/** Returns the violated guarantees and the kinds of work that were never done. Empty if the demo succeeded. */
+export function findViolations (tally: Tally): string[] {
   const mustBeZero: Record<string, number> = {
     'samples delivered twice': tally.samples.deliveredTwice,
     'samples lost': tally.samples.lost,
@@ -66,7 +66,7 @@
   ]
 }
 
-/** The tally as a table for people. */
+/** Formats the tally as a table. */
 export function formatTally (tally: Tally): string {
   const lines: string[] = []
   for (const [part, values] of Object.entries(tally)) {
--- a/tools/demo/trainerJob.ts
+++ b/tools/demo/trainerJob.ts
@@ -1,7 +1,7 @@
-/** A trainer of the demo: submits a step's groups, pulls until it has them, trains, publishes weights. */
+/** A trainer of the demo. For each step it submits groups, pulls samples until all have arrived, trains, and publishes new weights. */
 
 import { request } from 'undici'
-import { attributionFaults } from '../../test/support/judge.ts'
+import { findAttributionErrors } from '../../test/support/attributionChecks.ts'
 import { keys } from '../../test/support/hostProcess.ts'
 import type { Segment } from '../../src/core/common/fold/records.ts'
 import type { AddressBook } from './addressBook.ts'
@@ -16,7 +16,7 @@
   readonly steps: number
   readonly groups: number
   readonly samples: number
-  /** Beginning of the prompts: shaped like the users' work. */
+  /** Prefix of the prompts. */
   readonly topic: string
   readonly trainMs: number
 }
@@ -29,22 +29,22 @@
 }
 
 export class TrainerJob {
-  private readonly taken = new Map<string, number>()
+  private readonly deliveryCounts = new Map<string, number>()
   private cursor = 0
   private idleMs = 0
-  private began = 0
-  private ended = 0
+  private startedAt = 0
+  private endedAt = 0
   finishedSteps = 0
 
-  constructor (private readonly plan: TrainerPlan, private readonly book: AddressBook, private readonly tally: Tally, private readonly newest: { version: number }) {}
+  constructor (private readonly plan: TrainerPlan, private readonly addressBook: AddressBook, private readonly tally: Tally, private readonly newestWeights: { version: number }) {}
 
   get idleShare (): number {
-    return this.idleMs / Math.max(1, this.ended - this.began)
+    return this.idleMs / Math.max(1, this.endedAt - this.startedAt)
   }
 
-  /** Runs all steps, submitting one step ahead; counts what came into the tally. */
+  /** Runs all steps, submitting one step ahead, and adds the delivered samples to the tally. */
   async run (): Promise<void> {
-    this.began = performance.now()
+    this.startedAt = performance.now()
     await this.submit(0)
     for (let step = 0; step < this.plan.steps; step++) {
       if (step + 1 < this.plan.steps) await this.submit(step + 1)
@@ -53,48 +53,48 @@
       await this.publish()
       this.finishedSteps++
     }
-    this.ended = performance.now()
+    this.endedAt = performance.now()
     const wanted = this.plan.steps * this.plan.groups * this.plan.samples
     const { samples } = this.tally
     samples.submitted += wanted
-    samples.delivered += this.taken.size
-    samples.lost += wanted - this.taken.size
-    samples.deliveredTwice += [...this.taken.values()].filter((count) => count > 1).length
+    samples.delivered += this.deliveryCounts.size
+    samples.lost += wanted - this.deliveryCounts.size
+    samples.deliveredTwice += [...this.deliveryCounts.values()].filter((count) => count > 1).length
   }
 
   private async submit (step: number): Promise<void> {
     const groups = Array.from({ length: this.plan.groups }, (_, index) => ({
       id: `step-${step}-${index}`, step, prompt: `${this.plan.topic} ${step}.${index}`, samples: this.plan.samples, issued_at: Date.now()
     }))
-    while (await this.ask('groups', { groups }) === undefined) await pause(100)
+    while (await this.post('groups', { groups }) === undefined) await pause(100)
   }
 
   private async collect (wanted: number): Promise<void> {
-    const until = performance.now() + 40_000
-    while (this.taken.size < wanted && performance.now() < until) {
-      const waiting = performance.now()
-      const version = this.newest.version
-      const batch = await this.ask('pull', { cursor: this.cursor, version, maximum: 64, wait_ms: 1000 }) as { cursor: number, samples: Sample[] } | undefined
-      this.idleMs += performance.now() - waiting
+    const deadline = performance.now() + 40_000
+    while (this.deliveryCounts.size < wanted && performance.now() < deadline) {
+      const pullStartedAt = performance.now()
+      const version = this.newestWeights.version
+      const batch = await this.post('pull', { cursor: this.cursor, version, maximum: 64, wait_ms: 1000 }) as { cursor: number, samples: Sample[] } | undefined
+      this.idleMs += performance.now() - pullStartedAt
       if (batch === undefined) continue
       this.cursor = batch.cursor
-      for (const sample of batch.samples) this.take(sample, version)
+      for (const sample of batch.samples) this.recordSample(sample, version)
     }
   }
 
-  private take (sample: Sample, version: number): void {
+  private recordSample (sample: Sample, version: number): void {
     const name = `${sample.group}/${sample.index}`
-    this.taken.set(name, (this.taken.get(name) ?? 0) + 1)
+    this.deliveryCounts.set(name, (this.deliveryCounts.get(name) ?? 0) + 1)
     const age = Math.max(0, version - Math.min(...sample.segments.map((segment) => segment.version)))
     const { samples, trainers } = this.tally
     trainers.staleness[age] = (trainers.staleness[age] ?? 0) + 1
     if (age > this.plan.staleness) samples.tooOld++
-    if (attributionFaults(sample.text, sample.segments).length > 0) samples.wronglyAttributed++
+    if (findAttributionErrors(sample.text, sample.segments).length > 0) samples.wronglyAttributed++
   }
 
   private async publish (): Promise<void> {
-    const version = this.newest.version + 1
-    const address = await this.book.next()
+    const version = this.newestWeights.version + 1
+    const address = await this.addressBook.next()
     try {
       const answer = await request(`${address}/v1/command`, {
         method: 'POST',
@@ -103,14 +103,14 @@
         signal: AbortSignal.timeout(5000)
       })
       await answer.body.dump()
-      if (answer.statusCode === 200) this.newest.version = Math.max(this.newest.version, version)
+      if (answer.statusCode === 200) this.newestWeights.version = Math.max(this.newestWeights.version, version)
     } catch {}
   }
 
-  private async ask (what: string, body: unknown): Promise<unknown> {
+  private async post (operation: string, body: unknown): Promise<unknown> {
     try {
-      const address = await this.book.next()
-      const answer = await request(`${address}/v1/subscriptions/${this.plan.subscription}/${what}`, {
+      const address = await this.addressBook.next()
+      const answer = await request(`${address}/v1/subscriptions/${this.plan.subscription}/${operation}`, {
         method: 'POST',
         headers: { authorization: `Bearer ${this.plan.key}`, 'content-type': 'application/json' },
         body: JSON.stringify(body),
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the dependencies from the lock file, unless that has been done since the file changed.
+# Installs the dependencies from the lock file, unless they were installed after it last changed.
 set -eu
 cd "$(dirname "$0")/.."
 if [ ! -f node_modules/.package-lock.json ] || [ package-lock.json -nt node_modules/.package-lock.json ]; then
--- a/tools/reporter.cjs
+++ b/tools/reporter.cjs
@@ -1,4 +1,4 @@
-// Reporter of the tests: as mocha's spec reporter, and writes the names of failed tests for CI.
+// Extends mocha's spec reporter: also writes the test counts and the titles of failed tests to reports/tests.json for CI.
 const { mkdirSync, writeFileSync } = require('node:fs')
 const { reporters } = require('mocha')
 
--- a/tools/start.cjs
+++ b/tools/start.cjs
@@ -1,7 +1,7 @@
 /**
- * Starts the program from code that the build has compiled. What goes wrong otherwise: a host compiles the whole program at
- * each start, which is a third of what a start takes; after a loss of all hosts each answers its first callers that much later.
- * Where the compiled code is of another engine, other options or another program, it is passed over and nothing else changes.
+ * Starts the program with the V8 code cache that the build has written. Without the cache a host compiles the whole program at
+ * each start, which takes a third of the start time and delays the first answers after all hosts were lost. V8 rejects a cache
+ * from another engine version, other options or another version of the program; the program then starts without it.
  */
 
 'use strict'
@@ -13,9 +13,9 @@
 
 const PROGRAM = join(__dirname, 'bulrushvalve.cjs')
 const COMPILED = join(__dirname, 'bulrushvalve.compiled')
-/** With this word before all others the program runs for a moment and leaves what was compiled behind, for the build. */
+/** First argument that makes the program run briefly and write the code cache. Used by the build. */
 const COMPILE = '--write-compiled'
-/** That moment, counted from when the program is loaded, in milliseconds: it has most of what a start compiles. */
+/** Time from loading the program until the code cache is written, in milliseconds. By then most of the functions that a start needs are compiled. */
 const COMPILE_MS = 1000
 
 function readCompiled () {
@@ -26,7 +26,7 @@
   }
 }
 
-// The build writes nothing but ASCII, which is read soonest as what it is.
+// The build output is pure ASCII, and latin1 is the fastest encoding to decode it.
 const script = new Script(wrap(readFileSync(PROGRAM, 'latin1')), { filename: PROGRAM, cachedData: readCompiled() })
 if (process.argv[2] === COMPILE) {
   process.argv.splice(2, 1)
--- a/tools/undici/noHttp2.cjs
+++ b/tools/undici/noHttp2.cjs
@@ -1,7 +1,7 @@
-/** In place of undici's connections of HTTP/2: no connection of the program offers that protocol, and loading it takes time at each start. */
+/** Replaces undici's HTTP/2 client. No connection of the program negotiates HTTP/2, and loading the client takes time at each start. */
 
 'use strict'
 
 module.exports = function connectHttp2 () {
-  throw new Error('connections of HTTP/2 are not part of this program')
+  throw new Error('HTTP/2 is not supported by this build')
 }
--- a/tools/undici/parts.cjs
+++ b/tools/undici/parts.cjs
@@ -1,10 +1,10 @@
-/** The parts of undici that the program uses, under the names that the package gives them. */
+/** Exports the parts of undici that the program uses, under the names that the package gives them. */
 
 'use strict'
 
 const Dispatcher = require('undici/lib/dispatcher/dispatcher.js')
 
-// The package puts the calls on all kinds of connections as it is loaded whole.
+// The main module of undici adds these methods to all dispatchers. It is not loaded here, so they are added in the same way.
 Object.assign(Dispatcher.prototype, require('undici/lib/api/index.js'))
 
 exports.Client = require('undici/lib/dispatcher/client.js')
--- a/tools/verdict.js
+++ b/tools/verdict.js
@@ -1,4 +1,4 @@
-// Reads the outcome of the tests and KNOWN-RED.txt; fails on every failure that is not listed there.
+// Compares the test results with KNOWN-RED.txt. Exits with code 1 if a test failed that is not listed there, if tests were skipped, if none passed, or if the list has more than MOST_KNOWN entries.
 import { existsSync, readFileSync } from 'node:fs'
 
 const MOST_KNOWN = 3
